--- a/libs/config/include/turmeric/config/settings_tree.h
+++ b/libs/config/include/turmeric/config/settings_tree.h
@@ -74,7 +74,7 @@
   size_t size() const;
 
  private:
-  store::HeldKeys HeldLevels() const;
+  store::KeyRevisions HeldLevels() const;
   struct Held {
     /** Shared by every level that states the same text (interned). */
     std::shared_ptr<const SettingsLayer> layer;
--- a/libs/config/src/settings_tree.cc
+++ b/libs/config/src/settings_tree.cc
@@ -59,9 +59,9 @@
           [this](const store::StoredObject& change) { Apply(change); },
           [this] { return HeldLevels(); }) {}
 
-store::HeldKeys SettingsTree::HeldLevels() const {
+store::KeyRevisions SettingsTree::HeldLevels() const {
   std::lock_guard lock(mu_);
-  store::HeldKeys held;
+  store::KeyRevisions held;
   std::ranges::transform(levels_, std::back_inserter(held), [](const auto& l) {
     return std::pair(l.first, l.second.revision);
   });
--- a/libs/entry/include/turmeric/entry/topology_feed.h
+++ b/libs/entry/include/turmeric/entry/topology_feed.h
@@ -77,7 +77,7 @@
   }
   /** @return when the store last told us of all configurations. */
   Clock::time_point config_answered() const {
-    return kinds_.at(peer::StoreKind::kConfig).reflector->answered_at();
+    return kinds_.at(peer::StoreKind::kConfig).reflector->last_answer_at();
   }
   /** @return when the store last answered us for all kinds. */
   Clock::time_point store_heard() const;
--- a/libs/entry/src/store_relay.cc
+++ b/libs/entry/src/store_relay.cc
@@ -107,10 +107,10 @@
   if (expects_followers_ || !followers_.empty()) {
     HistoryOf(kind).Add(batch);
   } else {
-    HistoryOf(kind).BeginAt(batch.revision);
+    HistoryOf(kind).ResetTo(batch.revision);
   }
   const bool says_nothing =
-      batch.objects.empty() && !store::LeadsIntoEra(batch);
+      batch.objects.empty() && !store::CrossesEraBoundary(batch);
   if (says_nothing || followers_.empty()) return;
   const std::vector<peer::StoreObject> objects = ToWire(batch.objects);
   const bool too_large = BytesOf(objects) * followers_.size() > kMostBytes;
--- a/libs/entry/src/topology_feed.cc
+++ b/libs/entry/src/topology_feed.cc
@@ -63,12 +63,12 @@
   }
   // That upstreams have left must be known sooner than the rest.
   for (const StoreKind kind : {StoreKind::kConfig, StoreKind::kEvacuations}) {
-    Of(kind).reflector->Follow(*Of(StoreKind::kUpstreams).reflector);
+    Of(kind).reflector->set_probe_leader(*Of(StoreKind::kUpstreams).reflector);
   }
   context_.news.Connect([this] { return newest(); },
                         [this](const StoreNews::Seen& seen) {
                           for (auto& [kind, state] : kinds_) {
-                            state.reflector->NoteChangeElsewhere(seen.Of(kind));
+                            state.reflector->OnPeerChange(seen.Of(kind));
                           }
                         });
   context_.upstreams.set_on_leave([this](const routing::UpstreamPtr& u) {
@@ -84,7 +84,7 @@
     context_.upstreams.Expire(Clock::now());
     ApplyEvacuations();
     context_.cold.CheckOwned();
-    for (auto& [kind, state] : kinds_) state.reflector->CheckWait();
+    for (auto& [kind, state] : kinds_) state.reflector->CheckWatchOverdue();
   });
 }
 
@@ -120,8 +120,8 @@
 
 void TopologyFeed::Watch(bool watch, bool patient) {
   for (auto& [kind, state] : kinds_) {
-    state.reflector->set_patient(patient);
-    state.reflector->Rest(!watch);
+    state.reflector->set_slow_retry(patient);
+    state.reflector->SetPassive(!watch);
   }
 }
 
@@ -151,7 +151,7 @@
   const bool from_copy =
       NoteEra(changes.kind, before, kind.replica.revision(), source);
   kind.reflector->AdvanceTo(kind.replica.revision());
-  Apply(changes.kind, merged.news, source, from_copy);
+  Apply(changes.kind, merged.changes, source, from_copy);
   if (on_merged_) on_merged_(changes.kind, *batch);
 }
 
@@ -181,7 +181,7 @@
 TopologyFeed::Clock::time_point TopologyFeed::store_heard() const {
   auto oldest = Clock::time_point::max();
   for (const auto& [kind, state] : kinds_) {
-    oldest = std::min(oldest, state.reflector->heard_at());
+    oldest = std::min(oldest, state.reflector->last_contact_at());
   }
   return oldest;
 }
@@ -242,7 +242,7 @@
   NoteOutage(outage);
   const auto merged = Of(kind).replica.Merge(batch);
   if (merged.outcome != store::KindReplica::Outcome::kMerged) return;
-  Apply(kind, merged.news, kStoreSource);
+  Apply(kind, merged.changes, kStoreSource);
   if (on_merged_) on_merged_(kind, batch);
 }
 
--- a/libs/entry/test/relay_protocol_test.cc
+++ b/libs/entry/test/relay_protocol_test.cc
@@ -294,7 +294,7 @@
     if (!batch) return ListStore(node);
     const auto merged = node.replica->Merge(*batch);
     if (merged.outcome != KindReplica::Outcome::kMerged) return;
-    Apply(node, merged.news);
+    Apply(node, merged.changes);
     node.relay->OnMerged(StoreKind::kUpstreams, *batch, StatusOf(node));
   }
 
@@ -380,7 +380,7 @@
       const auto merged = node.replica->Merge(*batch);
       if (merged.outcome == KindReplica::Outcome::kGap) node.catch_up = true;
       if (merged.outcome != KindReplica::Outcome::kMerged) continue;
-      Apply(node, merged.news);
+      Apply(node, merged.changes);
       node.relay->OnMerged(StoreKind::kUpstreams, *batch, StatusOf(node));
     }
     if (!flight.frame.relay) return;
--- a/libs/gateway/include/turmeric/gateway/gateway_service.h
+++ b/libs/gateway/include/turmeric/gateway/gateway_service.h
@@ -10,7 +10,7 @@
 #include "turmeric/http/router_server.h"
 #include "turmeric/kernel/service.h"
 #include "turmeric/store/duty_lease.h"
-#include "turmeric/store/held_revisions.h"
+#include "turmeric/store/known_revisions.h"
 #include "turmeric/store/resumable_watch.h"
 #include "turmeric/store/watch_keeper.h"
 
@@ -70,7 +70,7 @@
   std::unique_ptr<RunHandler> runs_;
   std::unique_ptr<ConfigHandler> config_;
   /** What the instance list held, in case it must be listed anew. */
-  store::HeldRevisions listed_;
+  store::KnownRevisions listed_;
   /** The platform's (lagging) list of live and leaving upstreams. */
   std::unique_ptr<store::ResumableWatch> instance_list_;
   std::unique_ptr<store::WatchKeeper> instance_list_keeper_;
--- a/libs/gateway/src/gateway_service.cc
+++ b/libs/gateway/src/gateway_service.cc
@@ -132,7 +132,7 @@
       [this](const store::StoredObject& entry) {
         const std::string address =
             entry.key.substr(kInstanceListPrefix.size());
-        listed_.Note(entry);
+        listed_.Apply(entry);
         const bool leaving =
             !entry.deleted && entry.value.find("leaving") != std::string::npos;
         // Watch events come on a store thread; upstream state belongs to the
@@ -146,7 +146,7 @@
             },
             Qt::QueuedConnection);
       },
-      [this] { return listed_.Held(); });
+      [this] { return listed_.Snapshot(); });
   (void)instance_list_->Arm();
   instance_list_keeper_ = std::make_unique<store::WatchKeeper>(
       *instance_list_, store_->executor(), "instance_list");
@@ -160,7 +160,7 @@
         constexpr int64_t kMicrosPerMs = 1000;
         const int64_t now = utils::NowUnixMicros() / kMicrosPerMs;
         if (!all) return claims().SweepOwn(now - kClockMarginMs, kSweepMost);
-        if (!sweep_duty_->Hold(now)) return 0;
+        if (!sweep_duty_->AcquireOrRenew(now)) return 0;
         auto swept = claims().Sweep(now - kClockMarginMs, kSweepMost);
         return swept ? swept.value() : 0;
       },
--- a/libs/standins/test/remote_store_test.cc
+++ b/libs/standins/test/remote_store_test.cc
@@ -9,7 +9,7 @@
 #include <set>
 
 #include "turmeric/standins/platform_standin.h"
-#include "turmeric/store/held_revisions.h"
+#include "turmeric/store/known_revisions.h"
 #include "turmeric/store/resumable_watch.h"
 
 namespace turmeric::store {
@@ -42,7 +42,7 @@
     RemoteStoreOptions options;
     options.address = "127.0.0.1:" + std::to_string(port_);
     options.call_timeout = std::chrono::milliseconds(200);
-    options.watch_silence = std::chrono::milliseconds(1500);
+    options.watch_idle_timeout = std::chrono::milliseconds(1500);
     options.breaker_pause = std::chrono::milliseconds(50);
     return options;
   }
@@ -124,15 +124,15 @@
   // without the removed organisation.
   PlatformThread platform;
   RemoteStore store(platform.Options());
-  HeldRevisions held;
+  KnownRevisions held;
   ResumableWatch watch(
-      store, "config/", [&](const StoredObject& o) { held.Note(o); },
-      [&] { return held.Held(); });
+      store, "config/", [&](const StoredObject& o) { held.Apply(o); },
+      [&] { return held.Snapshot(); });
   for (const char* key : {"config/a", "config/b", "other/c"}) {
     REQUIRE(platform.memory->Put(key, "1", kAbsent));
   }
   REQUIRE(watch.Arm());
-  CHECK(held.Held().size() == 2);  // the state so far, before Arm returns
+  CHECK(held.Snapshot().size() == 2);  // the state so far, before Arm returns
   PlatformFaults silent;
   silent.silent = true;
   platform.SetFaults(silent);
@@ -145,10 +145,10 @@
   platform.SetFaults({});
   CHECK(Eventually([&] { return watch.Arm().has_value(); }));
   std::set<std::string> keys;
-  for (const auto& [key, revision] : held.Held()) keys.insert(key);
+  for (const auto& [key, revision] : held.Snapshot()) keys.insert(key);
   CHECK(keys == std::set<std::string>{"config/a", "config/d"});
   REQUIRE(platform.memory->Put("config/e", "1", kAbsent));
-  CHECK(Eventually([&] { return held.Held().size() == 3; }));
+  CHECK(Eventually([&] { return held.Snapshot().size() == 3; }));
 }
 
 }  // namespace turmeric::store
--- a/libs/store/include/turmeric/store/backoff.h
+++ b/libs/store/include/turmeric/store/backoff.h
@@ -5,22 +5,22 @@
 namespace turmeric::store {
 
 /**
- * How long to wait before calling a store again that has not answered.
+ * Computes the delay before the next call to a store that failed to answer.
  *
- * The time between two calls grows with each failure; it counts from the
- * failed call's start. A store that refuses at once is so called as rarely as
- * one that is silent, and one that is silent is called again soon after the
- * call is given up: an instance that was cut off hears of its upstreams again
- * within a second of its return.
+ * The interval between the starts of two calls grows with each failure. A
+ * store that refuses calls at once is thus called as rarely as one that does
+ * not answer at all, and the call after a timed-out one follows soon after the
+ * timeout: an instance that was cut off from the store receives upstream
+ * changes within a second of its reconnection.
  *
- * @param failures failed calls in a row, from 1.
- * @param call_took how long the last of them took.
- * @param spread factor from 0.6 to 1.2 on the time between calls, drawn anew
- *     for each call so that a fleet does not return in step.
- * @return the pause from now.
+ * @param failures number of consecutive failed calls, at least 1.
+ * @param call_duration duration of the last failed call.
+ * @param jitter factor on the interval, from 0.6 to 1.2, drawn for each call
+ *     so that the instances of a fleet do not call in step.
+ * @return the delay from now.
  */
-std::chrono::milliseconds PauseAfterFailure(int failures,
-                                            std::chrono::milliseconds call_took,
-                                            double spread);
+std::chrono::milliseconds RetryDelay(int failures,
+                                     std::chrono::milliseconds call_duration,
+                                     double jitter);
 
 }  // namespace turmeric::store
--- a/libs/store/include/turmeric/store/change_batch.h
+++ b/libs/store/include/turmeric/store/change_batch.h
@@ -9,23 +9,27 @@
 namespace turmeric::store {
 
 /**
- * All changes of one kind after one revision of the store and up to another,
- * in order. An object that is only marked as deleted carries the revision of
- * its deletion or of its last change before.
+ * All changes of one kind of object between two positions of the store, in
+ * order. A deletion carries either the revision of the deletion or the
+ * revision of the object's last change before it.
  */
 struct ChangeBatch {
-  int64_t follows = 0;
-  int64_t revision = 0;
+  int64_t follows = 0;   ///< Position before the first change (exclusive).
+  int64_t revision = 0;  ///< Position after the last change (inclusive).
   std::vector<SourceObject> objects;
-  /** Of changes that lead into an era: a hash of what they were derived from;
-   * 0: not stated. They join on any state that holds the same. */
+  /** For a batch that crosses an era boundary: hash of the replica's content
+   * from which the changes were computed; 0 if not given. The batch applies to
+   * every replica with the same content. */
   uint64_t held_before = 0;
 };
 
-/** @param batch changes. @return true if the store came back from a copy in
- * between: they are what differs between the state that they follow and the
- * copy, and say nothing of the copy to who knows another state. */
-inline bool LeadsIntoEra(const ChangeBatch& batch) {
+/**
+ * @param batch changes.
+ * @return true if the store was restored from a copy (began a new era) within
+ *     the batch. The changes are then the difference between the state at
+ *     `follows` and the copy, and do not apply to any other state.
+ */
+inline bool CrossesEraBoundary(const ChangeBatch& batch) {
   return EraOf(batch.follows) < EraOf(batch.revision);
 }
 
--- a/libs/store/include/turmeric/store/change_history.h
+++ b/libs/store/include/turmeric/store/change_history.h
@@ -9,32 +9,37 @@
 namespace turmeric::store {
 
 /**
- * The latest changes of one kind, for somebody who knows an earlier revision.
- * Bounded; older ones are forgotten.
+ * The latest changes of one kind of object, from which a follower at an
+ * earlier revision is brought up to date. Bounded; the oldest batches are
+ * evicted first.
  */
 class ChangeHistory {
  public:
-  /** @param most objects that are remembered. */
-  explicit ChangeHistory(size_t most) : most_(most) {}
+  /** @param max_objects largest number of changed objects that are kept. */
+  explicit ChangeHistory(size_t max_objects) : max_objects_(max_objects) {}
 
-  /** @param batch changes that were merged, in the order of merging. */
+  /** @param batch merged changes; batches are added in the order of merging. */
   void Add(const ChangeBatch& batch);
-  /** Nobody needs changes up to this revision. @param revision the store's. */
-  void BeginAt(int64_t revision);
   /**
-   * @param revision up to which somebody knows all changes.
-   * @return the changes after it; nullopt if some are no longer remembered.
+   * Drops all changes and starts an empty history.
+   * @param revision the store's revision at which the history starts.
+   */
+  void ResetTo(int64_t revision);
+  /**
+   * @param revision the revision up to which the follower has all changes.
+   * @return the changes after it; nullopt if some of them were evicted, or if
+   *     the follower's state is not the one that an era's changes start from.
    */
   std::optional<ChangeBatch> Since(int64_t revision) const;
-  /** @return up to which revision changes were added. */
+  /** @return the revision up to which changes were added. */
   int64_t revision() const { return revision_; }
 
  private:
-  size_t most_;
-  size_t objects_ = 0;
+  size_t max_objects_;
+  size_t object_count_ = 0;
   std::deque<ChangeBatch> batches_;
-  int64_t first_ = 0;     ///< Changes after this revision are remembered.
-  int64_t revision_ = 0;  ///< Up to this one.
+  int64_t first_revision_ = 0;  ///< Changes after this revision are kept.
+  int64_t revision_ = 0;        ///< Revision of the last change added.
 };
 
 }  // namespace turmeric::store
--- a/libs/store/include/turmeric/store/kind_replica.h
+++ b/libs/store/include/turmeric/store/kind_replica.h
@@ -11,60 +11,70 @@
 namespace turmeric::store {
 
 /**
- * How far one kind of the store's objects is known here, whatever path its
- * changes come by: the store's own answers or other instances, late, twice, in
- * any order. Every change up to revision() is known and none after it, so
- * what was applied never goes back and a missing change always shows as a gap.
+ * The state of this instance's replica of one kind of the store's objects:
+ * per object, the position of its last change and a hash of its content.
+ *
+ * Changes arrive from the store's own answers or from other instances, late,
+ * duplicated and in any order. The replica contains every change up to
+ * revision() and none after it, so an applied change is never reverted, and a
+ * missing change always shows as a gap.
  */
 class KindReplica {
  public:
-  /** What became of a batch of changes. */
+  /** How a batch of changes was handled. */
   enum class Outcome {
-    kMerged,  ///< All that was new in it is applied.
-    kKnown,   ///< It says nothing new.
-    kGap,     ///< Changes before it are missing; nothing was applied.
+    kMerged,  ///< All new changes of the batch are applied.
+    kKnown,   ///< The batch ends at or before revision(); nothing to apply.
+    kGap,     ///< Changes before the batch are missing; nothing was applied.
   };
-  /** Outcome of Merge and what is to be applied. */
-  struct Merged {
+  /** Result of Merge. */
+  struct MergeResult {
     Outcome outcome = Outcome::kKnown;
-    std::vector<SourceObject> news;
+    std::vector<SourceObject> changes;  ///< New changes, for the caller.
   };
 
   /**
-   * Takes over a full list of the store. One of a later era may be a copy of
-   * an older state, with revisions given out again: what differs from what is
-   * held is a change, the rest is held from now on as of the new era.
-   * @param list all objects there are. @return the changes that lead from what
-   *     was known to the list; of a first list its objects, as changes that
-   *     follow nothing but itself; nullopt if it is older than what is known.
+   * Replaces the state by a full list of the store. A list of a later era may
+   * come from a copy of an older state, in which revisions are assigned a
+   * second time: objects whose content differs are changes, all others only
+   * take their position in the new era.
+   * @param list all objects of the kind.
+   * @return the changes from the previous state to the list; for the first
+   *     list, its objects in a batch that follows the list's own revision;
+   *     nullopt if the list is older than this replica.
    */
   std::optional<ChangeBatch> MergeList(const SourceBatch& list);
-  /** @param batch changes; those that lead into a later era must follow just
-   * what is known here. @return what is new in them. */
-  Merged Merge(const ChangeBatch& batch);
+  /**
+   * Applies a batch of changes.
+   * @param batch changes. A batch that crosses an era boundary must follow
+   *     exactly revision(), or be computed from the same content.
+   * @return the outcome and the changes that are new.
+   */
+  MergeResult Merge(const ChangeBatch& batch);
 
   /** @return true once a full list was merged. */
   bool synced() const { return synced_; }
-  /** @return the revision up to which all changes are known. */
+  /** @return the revision up to which all changes are applied. */
   int64_t revision() const { return revision_; }
-  /** @return the newest change applied, by its revision; 0: none. */
+  /** @return the revision of the newest change applied; 0 if none. */
   int64_t newest_change() const { return newest_change_; }
 
  private:
   bool IsNew(const SourceObject& object) const;
-  /** @return true if the object is held with this content. */
-  bool IsHeldAsIs(const SourceObject& object) const;
-  void Note(const SourceObject& object);
-  /** @return a hash of all objects held, their positions aside; never 0. */
-  uint64_t HeldContent() const;
+  /** @return true if the replica has the object with the same content. */
+  bool HasSameContent(const SourceObject& object) const;
+  void Record(const SourceObject& object);
+  /** @return a hash over names and contents of all objects, without their
+   * positions; never 0. */
+  uint64_t ContentHash() const;
 
-  /** What is known of one object. */
-  struct Held {
-    Position position = 0;  ///< Of its last change.
-    size_t content = 0;     ///< Hash of its content.
+  /** State of one object. */
+  struct Entry {
+    Position position = 0;    ///< Of its last change.
+    size_t content_hash = 0;  ///< Of its spec.
   };
 
-  std::map<std::string, Held> held_;  ///< By name.
+  std::map<std::string, Entry> entries_;  ///< By object name.
   Position revision_ = 0;
   Position newest_change_ = 0;
   bool synced_ = false;
--- a/libs/store/include/turmeric/store/memory_store.h
+++ b/libs/store/include/turmeric/store/memory_store.h
@@ -9,24 +9,24 @@
 
 namespace turmeric::store {
 
-/** Faults the stand-in injects, as the platform's service shows them. */
+/** Faults that MemoryStore injects, as they occur in the platform's store. */
 struct StoreFaults {
-  bool outage = false;            ///< Every call fails kStoreUnavailable.
-  double lose_answer_rate = 0.0;  ///< Writes applied, answer lost.
-  uint64_t seed = 1;              ///< Seed for the loss draws.
+  bool outage = false;            ///< Every call fails with kStoreUnavailable.
+  double lose_answer_rate = 0.0;  ///< Share of writes whose answer is lost.
+  uint64_t seed = 1;              ///< Seed of the random losses.
 };
 
-/** Calls the platform would bill, counted as it counts them. */
+/** Calls that the platform would bill, counted the way it counts them. */
 struct StoreCallCounts {
   int64_t reads = 0;    ///< Get and List.
-  int64_t writes = 0;   ///< Put and Delete, applied or not.
-  int64_t watches = 0;  ///< Watch calls (a waiting watch counts once).
+  int64_t writes = 0;   ///< Put and Delete, also if rejected.
+  int64_t watches = 0;  ///< Watch calls; an open watch counts once.
 };
 
 /**
- * In-process stand-in for the platform's object API, with injected outages
- * and lost answers. Thread-safe. Watch callbacks run on the writer's thread,
- * outside the lock.
+ * In-process implementation of the platform's object API, with injected
+ * outages and lost answers. Thread-safe. Watch callbacks run on the writer's
+ * thread without the store's mutex held.
  */
 class MemoryStore : public ObjectStore {
  public:
@@ -42,11 +42,13 @@
                                WatchCallback callback) override;
   void CancelWatch(int64_t watch_id) override;
 
-  /** @param faults faults from now on; starting an outage breaks watches. */
+  /** @param faults faults to inject from now on. The start of an outage ends
+   * all watches with an error. */
   void SetFaults(const StoreFaults& faults);
-  /** Forgets deletions: watches from an earlier revision must list. */
+  /** Drops all tombstones: a watch from an earlier revision fails with
+   * kStoreRevisionGone, and its owner must list. */
   void Compact();
-  /** @return calls billed so far. */
+  /** @return the billed calls so far. */
   StoreCallCounts counts() const;
   /** @return the store-wide revision. */
   int64_t revision() const;
@@ -66,8 +68,8 @@
   StoreFaults faults_;
   std::mt19937_64 rng_{1};
   int64_t revision_ = 0;
-  int64_t compacted_ = 0;  ///< Deletions up to here are forgotten.
-  int64_t next_watch_ = 1;
+  int64_t compacted_ = 0;  ///< Tombstones up to this revision are dropped.
+  int64_t next_watch_id_ = 1;
   mutable StoreCallCounts counts_;
 };
 
--- a/libs/store/include/turmeric/store/object_codec.h
+++ b/libs/store/include/turmeric/store/object_codec.h
@@ -7,12 +7,13 @@
 
 namespace turmeric::store {
 
-/** @param object a stored object or tombstone. @return its JSON form. */
+/** @param object a live object or a tombstone. @return its JSON form. */
 QJsonObject ObjectToJson(const StoredObject& object);
 /** @param json from ObjectToJson. @return the object. */
 StoredObject ObjectFromJson(const QJsonObject& json);
 
-/** Header of the platform's object API: the expected version of a write. */
+/** HTTP header of the platform's object API with the expected version of a
+ * write. */
 inline constexpr char kIfVersionHeader[] = "x-if-version";
 
 }  // namespace turmeric::store
--- a/libs/store/include/turmeric/store/reflector.h
+++ b/libs/store/include/turmeric/store/reflector.h
@@ -11,120 +11,133 @@
 
 namespace turmeric::store {
 
-/** What a reflector reports. */
+/** Callbacks of a Reflector. */
 struct ReflectorEvents {
-  /** A full list; `outage` is how long nothing had been heard before it. */
+  /** Called with a full list. `outage` is the time since the last contact if
+   * the store was unreachable before this answer, else 0. */
   std::function<void(const SourceBatch&, std::chrono::milliseconds outage)>
       on_list;
-  /** Changes, none or some. `outage` as above, for the first after a gap. */
+  /** Called with the changes of a watch, possibly none. `outage` as above. */
   std::function<void(const ChangeBatch&, std::chrono::milliseconds outage)>
       on_changes;
-  /** The store answers again, or has stopped answering. */
-  std::function<void(bool reachable, const std::string& why)> on_reachable;
+  /** Called with the reason when the store becomes reachable or unreachable. */
+  std::function<void(bool reachable, const std::string& reason)> on_reachable;
 };
 
 /**
- * Follows all objects of one kind: lists them, waits for changes, lists anew
- * when the history is gone. One call to the store at a time. It can rest
- * while the changes come another way, and goes on from what is known then.
+ * Follows all objects of one kind in the store: lists them, watches for
+ * changes, and lists again when the store no longer has the history. Makes one
+ * call to the store at a time, except that a lost watch is replaced without
+ * waiting for its end. While passive, a reflector makes no calls because the
+ * changes are relayed by other instances; it resumes from the revision that
+ * the relayed changes have reached.
  */
 class Reflector : public QObject {
  public:
   /**
-   * @param source the store; must outlive this. @param kind what to follow.
-   * @param events called as objects change.
+   * @param source the store; must outlive this object.
+   * @param kind kind of objects to follow.
+   * @param events callbacks.
    */
   Reflector(ObjectSource& source, std::string kind, ReflectorEvents events);
 
-  /** @param wait asked for how long a watch waits while the store answers;
-   * its answer may change with time. Without it, 3 s. */
+  /** @param wait called for each watch while the store is reachable, returns
+   * how long the watch waits; the default is 3 s. */
   void set_watch_wait(std::function<std::chrono::milliseconds()> wait) {
     watch_wait_ = std::move(wait);
   }
   /**
-   * Another reflector of the same store finds out when it is back; while it
-   * does not reach the store, this one waits for it after a failure.
-   * @param lead the other; must outlive this.
+   * Sets a reflector of the same store that probes it during an outage. While
+   * neither of the two reaches the store, this one makes no calls of its own.
+   * @param leader the probing reflector; must outlive this object.
    */
-  void Follow(const Reflector& lead) { lead_ = &lead; }
-  /** Begins with a list. */
+  void set_probe_leader(const Reflector& leader) { probe_leader_ = &leader; }
+  /** Starts with a list. */
   void Start();
-  /** @param resting true: no further call, except one for CatchUp. */
-  void Rest(bool resting);
-  /** @param patient true: others find out when the store is back; while it is
-   * away this one asks seldom. */
-  void set_patient(bool patient);
-  /** All changes up to this revision have come another way.
-   * @param revision the store's. */
+  /** @param passive true: make no further calls, except one per CatchUp. */
+  void SetPassive(bool passive);
+  /** @param slow true: retry at long intervals while the store is unreachable,
+   * because other instances probe it. */
+  void set_slow_retry(bool slow);
+  /** Advances to the revision up to which all changes were received by another
+   * path than this reflector. @param revision the store's revision. */
   void AdvanceTo(int64_t revision);
-  /** Changes are missing: asks the store for them once, also while resting. */
+  /** Requests missing changes from the store with one call, also while
+   * passive. */
   void CatchUp();
-  /** The same, if a watch would not tell them: the store has begun an era. */
+  /** As CatchUp, but by a list, for changes that a watch does not deliver
+   * because the store has begun a new era. */
   void CatchUpByList();
   /**
-   * Somebody else has seen a change of the kind. If our watch does not bring it
-   * within a moment, it is lost, and another one is begun.
-   * @param revision of the change.
+   * Records that a peer instance has received a change of the kind. If the open
+   * watch does not deliver it soon, the watch counts as lost and is replaced.
+   * @param revision the revision of the change.
    */
-  void NoteChangeElsewhere(int64_t revision);
-  /** To be called several times a second: begins another watch if the one that
-   * waits has been waiting for longer than it should by now. */
-  void CheckWait();
-  /** @return true once a list was read. */
+  void OnPeerChange(int64_t revision);
+  /** Replaces the open watch if it has been open for longer than a watch
+   * started now would be. To be called several times a second. */
+  void CheckWatchOverdue();
+  /** @return true once a list was received. */
   bool synced() const { return synced_; }
-  /** @return true while the store answers. */
+  /** @return true while the store counts as reachable: the last call was
+   * answered, or no call was made since the last passive phase. */
   bool reachable() const { return reachable_; }
-  /** @return when the store last answered. */
-  std::chrono::steady_clock::time_point heard_at() const { return heard_at_; }
-  /** @return when a call of ours was last answered, so that all changes of
-   * before are known; the clock's beginning if none was. */
-  std::chrono::steady_clock::time_point answered_at() const {
-    return answered_at_;
+  /** @return when the store last answered, or when the last passive phase
+   * ended, if that is later. */
+  std::chrono::steady_clock::time_point last_contact_at() const {
+    return last_contact_at_;
+  }
+  /** @return when a call of this reflector was last answered, so that all
+   * earlier changes were received; the clock's epoch if none was. */
+  std::chrono::steady_clock::time_point last_answer_at() const {
+    return last_answer_at_;
   }
 
  private:
-  void CallAgain();
+  void MakeNextCall();
   void List();
   void Watch();
   void OnListed(const utils::Result<SourceBatch>& batch);
   void OnChanges(int64_t follows, const utils::Result<SourceBatch>& batch);
-  void Continue(std::chrono::milliseconds pause);
-  void Heard();
+  void ScheduleNextCall(std::chrono::milliseconds delay);
+  void RecordAnswer();
   void OnError(const utils::Error& error);
   void OnHistoryGone();
-  /** @return the pause after a watch that ended with nothing. */
-  std::chrono::milliseconds PauseAfterNothing();
-  void WatchAnew();
-  std::chrono::milliseconds UsualWait() const;
-  std::chrono::milliseconds Outage() const;
+  /** @return the delay after a watch that ended without changes. */
+  std::chrono::milliseconds DelayAfterEmptyWatch();
+  void RestartWatch();
+  std::chrono::milliseconds NormalWatchWait() const;
+  std::chrono::milliseconds OutageDuration() const;
 
   ObjectSource& source_;
   std::string kind_;
-  const Reflector* lead_ = nullptr;
+  const Reflector* probe_leader_ = nullptr;
   ReflectorEvents events_;
   std::function<std::chrono::milliseconds()> watch_wait_;
-  QTimer again_;
-  QTimer behind_;
+  QTimer next_call_;   ///< Timer of the delay before the next call.
+  QTimer peer_timer_;  ///< Time for a peer's change to arrive here.
   bool list_next_ = true;
-  bool resting_ = false;
-  bool patient_ = false;
-  bool catch_up_ = false;         ///< One watch is wanted while resting.
-  bool was_catching_up_ = false;  ///< The open call is that one.
+  bool passive_ = false;
+  bool slow_retry_ = false;
+  bool catch_up_pending_ = false;   ///< CatchUp was requested.
+  bool watch_is_catch_up_ = false;  ///< The last watch was for CatchUp.
   bool synced_ = false;
   bool reachable_ = false;
   int failures_ = 0;
-  int gone_ = 0;   ///< Histories in a row that the store did not have.
-  int early_ = 0;  ///< Watches in a row that ended early, for nothing.
+  int history_gone_count_ = 0;  ///< Consecutive kStoreRevisionGone errors.
+  /** Consecutive watches that ended early without changes. */
+  int early_watch_count_ = 0;
   int64_t revision_ = 0;
-  int64_t elsewhere_ = 0;      ///< The newest change that others have seen.
-  bool calling_ = false;       ///< A call is open.
-  bool waiting_ = false;       ///< It is a watch.
-  uint64_t watch_number_ = 0;  ///< Tells the open watch from those given up.
-  std::chrono::milliseconds wait_{0};  ///< Of the last watch.
-  std::chrono::steady_clock::time_point called_at_;
-  std::chrono::steady_clock::time_point anew_at_;
-  std::chrono::steady_clock::time_point heard_at_;
-  std::chrono::steady_clock::time_point answered_at_;
+  int64_t peer_change_ = 0;  ///< Newest change that peers have received.
+  bool call_in_flight_ = false;
+  bool watch_in_flight_ = false;  ///< The call in flight is a watch.
+  uint64_t watch_sequence_ = 0;  ///< Of the open watch; older ones are ignored.
+  std::chrono::milliseconds requested_wait_{0};  ///< Of the last watch.
+  std::chrono::steady_clock::time_point call_started_at_;
+  /** Of the last call for CatchUp or for a lost watch. */
+  std::chrono::steady_clock::time_point last_extra_call_at_;
+  std::chrono::steady_clock::time_point last_contact_at_;
+  std::chrono::steady_clock::time_point last_answer_at_;
 };
 
 }  // namespace turmeric::store
--- a/libs/store/include/turmeric/store/remote_store.h
+++ b/libs/store/include/turmeric/store/remote_store.h
@@ -18,26 +18,27 @@
 struct ApiAnswer;
 }  // namespace details
 
-/** How the platform's object API is reached and how long it may take. */
+/** Address and timeouts of the platform's object API. */
 struct RemoteStoreOptions {
   std::string address;  ///< "ip:port".
   std::chrono::milliseconds call_timeout{1000};
-  /** A watch that shows nothing, not even a bookmark, so long is broken. */
-  std::chrono::milliseconds watch_silence{3000};
-  /** After a failed call, calls fail at once for so long. */
+  /** A watch that delivers nothing, not even a bookmark, for this long counts
+   * as broken. */
+  std::chrono::milliseconds watch_idle_timeout{3000};
+  /** After an unanswered call, all calls fail at once for this long. */
   std::chrono::milliseconds breaker_pause{200};
 };
 
 /**
- * The platform's object API over HTTP. Calls block the calling thread until
- * the answer or the timeout; they must not come from the event loop. A write
- * whose answer does not come fails with kStoreAnswerLost (it may have
- * applied), a read with kStoreUnavailable. Watch callbacks run on the
- * store's I/O thread. Thread-safe.
+ * Client of the platform's object API over HTTP. Calls block the calling thread
+ * until the answer or the timeout; they must not be made on the event loop. An
+ * unanswered write fails with kStoreAnswerLost (it may have been applied), an
+ * unanswered read with kStoreUnavailable. Watch callbacks run on the store's
+ * I/O thread. Thread-safe.
  */
 class RemoteStore : public ObjectStore {
  public:
-  /** @param options where and how. */
+  /** @param options address and timeouts. */
   explicit RemoteStore(RemoteStoreOptions options);
   ~RemoteStore() override;
 
@@ -52,18 +53,19 @@
   void CancelWatch(int64_t watch_id) override;
 
  private:
-  /** Makes one call, unless the breaker is open. */
+  /** Makes one call and waits for its end. Fails at once while the circuit
+   * breaker is open. */
   details::ApiAnswer Call(const QByteArray& method, const std::string& path,
                           const QByteArray& body, int64_t expected_version);
   bool BreakerOpen();
-  void NoteOutcome(bool answered);
+  void UpdateBreaker(bool answered);
 
   RemoteStoreOptions options_;
   QThread thread_;
   details::RemoteStoreIo* io_;  ///< Lives on thread_.
   std::mutex mu_;
-  std::chrono::steady_clock::time_point open_till_;
-  int64_t next_watch_ = 1;
+  std::chrono::steady_clock::time_point breaker_open_until_;
+  int64_t next_watch_id_ = 1;
 };
 
 }  // namespace turmeric::store
--- a/libs/store/include/turmeric/store/store_executor.h
+++ b/libs/store/include/turmeric/store/store_executor.h
@@ -8,36 +8,38 @@
 namespace turmeric::store {
 
 /**
- * Runs store calls, which block, on a few threads and hands their results
- * back to the event loop it was made on: a slow or silent store must not
- * stop requests that do not need it.
+ * Runs blocking store calls on a thread pool and delivers their results to the
+ * event loop on which the executor was created, so that a slow or unreachable
+ * store does not block requests that do not use it.
  */
 class StoreExecutor {
  public:
-  /** @param threads store calls open at once. */
+  /** @param threads largest number of concurrent store calls. */
   explicit StoreExecutor(int threads) { pool_.setMaxThreadCount(threads); }
-  /** Waits for open calls; results not yet delivered are dropped. */
+  /** Waits for the calls in flight; undelivered results are dropped. */
   ~StoreExecutor() { pool_.waitForDone(); }
   StoreExecutor(const StoreExecutor&) = delete;
   StoreExecutor& operator=(const StoreExecutor&) = delete;
 
-  /** Waits until no call is open; results may still be on their way back. */
+  /** Waits until no call is in flight; results may still be queued for the
+   * event loop. */
   void WaitIdle() { pool_.waitForDone(); }
   /**
-   * @param context owner of `done`; if it is gone by then, `done` is not run.
-   *     Lives on the event loop's thread.
-   * @param work runs on a store thread; returns a value.
-   * @param done gets that value, on the event loop.
+   * Runs a store call.
+   * @param context owner of `done`, on the event loop's thread; if it has been
+   *     destroyed when the call ends, `done` is not called.
+   * @param work runs on a thread of the pool and returns a value.
+   * @param done receives the value of `work`, on the event loop.
    */
   template <class Work, class Done>
   void Run(QObject* context, Work work, Done done) {
-    // Made and read on the event loop's thread; the store thread only passes
-    // it through (its reference count is atomic).
+    // The QPointer is created and read on the event loop's thread; the pool's
+    // thread only moves it (its reference count is atomic).
     pool_.start([this, guard = QPointer<QObject>(context),
                  work = std::move(work), done = std::move(done)]() mutable {
       auto result = work();
       QMetaObject::invokeMethod(
-          &relay_,
+          &loop_object_,
           [guard = std::move(guard), done = std::move(done),
            result = std::move(result)]() mutable {
             if (guard) done(std::move(result));
@@ -47,7 +49,7 @@
   }
 
  private:
-  QObject relay_;
+  QObject loop_object_;  ///< Its thread's event loop runs the callbacks.
   QThreadPool pool_;
 };
 
--- a/libs/store/include/turmeric/store/watch_keeper.h
+++ b/libs/store/include/turmeric/store/watch_keeper.h
@@ -10,21 +10,22 @@
 namespace turmeric::store {
 
 /**
- * Keeps a ResumableWatch armed from the event loop: arms it on a store
- * thread, again after a break, with jittered back-off.
+ * Keeps a ResumableWatch armed: checks it on the event loop, and arms it on a
+ * thread of the executor at the start and after each break, with jittered
+ * backoff.
  */
 class WatchKeeper : public QObject {
  public:
   /**
-   * @param watch the watch; must outlive this.
-   * @param executor where arming blocks.
-   * @param name for the log.
+   * @param watch the watch; must outlive this object.
+   * @param executor runs the blocking calls; must outlive this object.
+   * @param name name of the watch in the log.
    */
   WatchKeeper(ResumableWatch& watch, StoreExecutor& executor, std::string name);
-  /** Starts keeping it armed. */
+  /** Arms the watch and starts checking it. */
   void Start();
-  /** Stops; an attempt under way may still arm it. */
-  void Stop() { check_.stop(); }
+  /** Stops checking; an attempt in flight may still arm the watch. */
+  void Stop() { check_timer_.stop(); }
 
  private:
   void Check();
@@ -32,7 +33,7 @@
   ResumableWatch& watch_;
   StoreExecutor& executor_;
   std::string name_;
-  QTimer check_;
+  QTimer check_timer_;
   std::mt19937_64 rng_{std::random_device{}()};
   int failures_ = 0;
   bool arming_ = false;
--- a/libs/store/src/change_history.cc
+++ b/libs/store/src/change_history.cc
@@ -4,39 +4,40 @@
 
 namespace turmeric::store {
 
-void ChangeHistory::BeginAt(int64_t revision) {
+void ChangeHistory::ResetTo(int64_t revision) {
   batches_.clear();
-  objects_ = 0;
-  first_ = revision;
+  object_count_ = 0;
+  first_revision_ = revision;
   revision_ = revision;
 }
 
 void ChangeHistory::Add(const ChangeBatch& batch) {
   if (batch.revision <= revision_) return;
-  // A batch that does not join on what is here begins a new history.
-  if (batch.follows > revision_ || revision_ == 0) BeginAt(batch.follows);
+  // A batch that leaves a gap after the last one starts a new history.
+  if (batch.follows > revision_ || revision_ == 0) ResetTo(batch.follows);
   revision_ = batch.revision;
-  // One that leads into an era is remembered also if nothing differs: who knows
-  // another state than the one before must not pass over it.
-  const bool says_nothing = batch.objects.empty() && !LeadsIntoEra(batch);
-  if (says_nothing || batch.follows == batch.revision) return;
+  // A batch that crosses an era boundary is kept even without changes: a
+  // follower at any other state than `follows` must not skip it.
+  const bool is_empty = batch.objects.empty() && !CrossesEraBoundary(batch);
+  if (is_empty || batch.follows == batch.revision) return;
   batches_.push_back(batch);
-  objects_ += batch.objects.size();
-  while (objects_ > most_ && !batches_.empty()) {
-    first_ = batches_.front().revision;
-    objects_ -= batches_.front().objects.size();
+  object_count_ += batch.objects.size();
+  while (object_count_ > max_objects_ && !batches_.empty()) {
+    first_revision_ = batches_.front().revision;
+    object_count_ -= batches_.front().objects.size();
     batches_.pop_front();
   }
 }
 
 std::optional<ChangeBatch> ChangeHistory::Since(int64_t revision) const {
-  if (revision_ == 0 || revision < first_) return std::nullopt;
+  if (revision_ == 0 || revision < first_revision_) return std::nullopt;
   ChangeBatch changes{.follows = revision,
                       .revision = std::max(revision, revision_),
                       .objects = {}};
   for (const ChangeBatch& batch : batches_) {
     if (batch.revision <= revision) continue;
-    if (LeadsIntoEra(batch) && batch.follows < revision) return std::nullopt;
+    if (CrossesEraBoundary(batch) && batch.follows < revision)
+      return std::nullopt;
     changes.objects.insert(changes.objects.end(), batch.objects.begin(),
                            batch.objects.end());
   }
--- a/libs/store/src/details/remote_store_io.cc
+++ b/libs/store/src/details/remote_store_io.cc
@@ -21,19 +21,19 @@
 
 }  // namespace
 
-/** A watch while its stream is open. */
+/** A watch whose stream is open. */
 struct RemoteStoreIo::OpenWatch {
   QNetworkReply* reply = nullptr;
-  QTimer silence;
+  QTimer idle_timer;
   WatchCallback callback;
-  AnswerHandler handler;  ///< Empty once the watch has started.
+  AnswerHandler handler;  ///< Empty after its only call.
   QByteArray buffer;
 };
 
 RemoteStoreIo::RemoteStoreIo(const RemoteStoreOptions& options)
     : options_(options),
-      calls_(new QNetworkAccessManager(this)),
-      watches_network_(new QNetworkAccessManager(this)) {}
+      call_network_(new QNetworkAccessManager(this)),
+      watch_network_(new QNetworkAccessManager(this)) {}
 
 QNetworkReply* RemoteStoreIo::Send(QNetworkAccessManager& network,
                                    const ApiCall& call) {
@@ -45,9 +45,9 @@
   if (call.method != "PUT") {
     return network.sendCustomRequest(request, call.method);
   }
-  // Guard: Qt sends a request again by itself when the connection closes
-  // before the answer; a body that cannot be rewound prevents it, so that a
-  // lost answer is seen as one.
+  // Guard: Qt retries a request by itself if the connection closes before the
+  // answer. A body that cannot be rewound prevents the retry, so that a lost
+  // answer is reported as lost.
   request.setHeader(QNetworkRequest::ContentLengthHeader, call.body.size());
   request.setHeader(QNetworkRequest::ContentTypeHeader, "text/plain");
   request.setAttribute(QNetworkRequest::DoNotBufferUploadDataAttribute, true);
@@ -58,14 +58,15 @@
 }
 
 void RemoteStoreIo::Start(const ApiCall& call, AnswerHandler handler) {
-  QNetworkReply* reply = Send(*calls_, call);
+  QNetworkReply* reply = Send(*call_network_, call);
   open_calls_.insert(reply);
   QTimer::singleShot(options_.call_timeout, reply, &QNetworkReply::abort);
   connect(reply, &QNetworkReply::finished, this,
           [this, reply, handler = std::move(handler)] {
             open_calls_.erase(reply);
             ApiAnswer answer;
-            // An error after the head is an answer cut short: not one.
+            // An error after a successful header means that the body was cut
+            // short; the call then counts as unanswered.
             const int status = StatusOf(*reply);
             const auto error = reply->error();
             if (status >= 300 || error == QNetworkReply::NoError) {
@@ -83,7 +84,7 @@
   auto watch = std::make_unique<OpenWatch>();
   watch->callback = std::move(callback);
   watch->handler = std::move(handler);
-  watch->reply = Send(*watches_network_, {"GET", path, {}, kAnyVersion});
+  watch->reply = Send(*watch_network_, {"GET", path, {}, kAnyVersion});
   connect(watch->reply, &QNetworkReply::readyRead, this,
           [this, id] { ReadWatch(id); });
   connect(watch->reply, &QNetworkReply::finished, this, [this, id] {
@@ -92,13 +93,13 @@
     if (it == watches_.end()) return;
     EndWatch(id, {StatusOf(*it->second->reply), {}, false});
   });
-  // Guard: a connection can go silent for good without a reset; changes then
-  // never come, and nothing shows it. The platform sends a bookmark every
-  // second, so silence for longer is a broken watch.
-  watch->silence.setSingleShot(true);
-  connect(&watch->silence, &QTimer::timeout, this,
+  // Guard: a connection can stop delivering data without a reset, and changes
+  // would then be missed without an error. The platform sends a bookmark every
+  // second, so a watch without data for `watch_idle_timeout` is broken.
+  watch->idle_timer.setSingleShot(true);
+  connect(&watch->idle_timer, &QTimer::timeout, this,
           [this, id] { EndWatch(id, {}); });
-  watch->silence.start(options_.watch_silence);
+  watch->idle_timer.start(options_.watch_idle_timeout);
   watches_.emplace(id, std::move(watch));
 }
 
@@ -107,7 +108,7 @@
   if (it == watches_.end()) return;
   OpenWatch& watch = *it->second;
   if (StatusOf(*watch.reply) != kStatusOk || !watch.reply->isOpen()) return;
-  watch.silence.start(options_.watch_silence);
+  watch.idle_timer.start(options_.watch_idle_timeout);
   watch.buffer += watch.reply->readAll();
   qsizetype from = 0;
   for (qsizetype end = 0; (end = watch.buffer.indexOf('\n', from)) >= 0;
@@ -131,7 +132,8 @@
   watch.reply->abort();
   watch.reply->deleteLater();
   if (watch.handler) {
-    // A stream that ended before its first bookmark did not start.
+    // The watch ended before its first bookmark, that is, before the replay
+    // was complete.
     if (answer.status == kStatusOk) answer.status = 0;
     watch.handler(std::move(answer));
   } else {
--- a/libs/store/src/details/remote_store_io.h
+++ b/libs/store/src/details/remote_store_io.h
@@ -17,11 +17,11 @@
 
 namespace turmeric::store::details {
 
-/** One answer of the object API. */
+/** The answer to one call of the object API. */
 struct ApiAnswer {
-  int status = 0;  ///< HTTP status; 0: none came.
+  int status = 0;  ///< HTTP status; 0 if the call was not answered.
   QByteArray body;
-  bool not_sent = false;  ///< No connection: the call certainly did nothing.
+  bool not_sent = false;  ///< No connection: the call had no effect.
 };
 
 /** One call of the object API. */
@@ -32,26 +32,30 @@
   int64_t expected_version = kAnyVersion;
 };
 
-/** RemoteStore's half on its I/O thread: the sockets and their timers. */
+/** The part of RemoteStore that lives on its I/O thread: connections and their
+ * timers. */
 class RemoteStoreIo : public QObject {
  public:
   using AnswerHandler = std::function<void(ApiAnswer)>;
 
-  /** @param options where and how. */
+  /** @param options address and timeouts. */
   explicit RemoteStoreIo(const RemoteStoreOptions& options);
-  /** @param call the call. @param handler gets its end, exactly once. */
+  /** Starts a call. @param call the call. @param handler called exactly once
+   * with the answer. */
   void Start(const ApiCall& call, AnswerHandler handler);
   /**
-   * @param id the watch. @param path with prefix and revision.
-   * @param callback per change, and once when the watch breaks.
-   * @param handler gets status 200 once the state so far was delivered, or
-   *     why the watch could not start; exactly once.
+   * Starts a watch.
+   * @param id identifier of the watch.
+   * @param path request path with prefix and revision.
+   * @param callback called per change, and once when the watch breaks.
+   * @param handler called exactly once: with status 200 when the replay was
+   *     delivered, or with the answer with which the start failed.
    */
   void StartWatch(int64_t id, const std::string& path, WatchCallback callback,
                   AnswerHandler handler);
-  /** @param id a watch; its callback is not called again. */
+  /** Ends a watch without calling its callback. @param id the watch. */
   void StopWatch(int64_t id);
-  /** Ends all calls and watches. */
+  /** Ends all calls and watches with an error. */
   void Close();
 
  private:
@@ -61,9 +65,10 @@
   void EndWatch(int64_t id, ApiAnswer answer);
 
   RemoteStoreOptions options_;
-  QNetworkAccessManager* calls_;
-  /** Of their own: waiting watches would use up the call connections. */
-  QNetworkAccessManager* watches_network_;
+  QNetworkAccessManager* call_network_;
+  /** Separate from `calls_`: open watches would occupy the connections that
+   * calls need. */
+  QNetworkAccessManager* watch_network_;
   std::map<int64_t, std::unique_ptr<OpenWatch>> watches_;
   std::set<QNetworkReply*> open_calls_;
 };
--- a/libs/store/src/duty_lease.cc
+++ b/libs/store/src/duty_lease.cc
@@ -10,11 +10,11 @@
 
 namespace {
 
-/** The value of a duty's object. */
+/** The content of a lease's object in the store. */
 struct LeaseRecord {
   std::string holder;
   int64_t until_unix_ms = 0;
-  int64_t fence = 0;  ///< Grows with every change of holder.
+  int64_t fence = 0;  ///< Fencing number; grows with every change of holder.
 };
 
 std::string Encode(const LeaseRecord& r) {
@@ -41,7 +41,7 @@
       holder_(std::move(holder)),
       lease_ms_(lease_ms) {}
 
-utils::Result<int64_t> DutyLease::Hold(int64_t now_unix_ms) {
+utils::Result<int64_t> DutyLease::AcquireOrRenew(int64_t now_unix_ms) {
   auto got = store_.Get(key_);
   if (!got && got.error().code != Errc::kStoreNotFound) return got.error();
   LeaseRecord record;
@@ -51,9 +51,9 @@
     version = got.value().version;
   }
   if (record.holder != holder_) {
-    // Guard: clocks differ between instances. Taken the moment it lapses by
-    // our clock, the lease could still run by its holder's; waiting one more
-    // lease length holds while clocks differ by less than that.
+    // Guard: the clocks of instances differ, so a lease that has expired by
+    // this instance's clock may still be valid by its holder's. Waiting for
+    // one more lease duration is safe as long as the clocks differ by less.
     if (got && now_unix_ms < record.until_unix_ms + lease_ms_) {
       return utils::Fail(Errc::kStoreConflict, "held by " + record.holder);
     }
@@ -62,7 +62,8 @@
   }
   record.until_unix_ms = now_unix_ms + lease_ms_;
   auto put = store_.Put(key_, Encode(record), version);
-  // A lost answer counts as not held: the next Hold finds the record ours.
+  // After a lost answer the lease counts as not held. If the write was
+  // applied, the next call reads the record and renews the lease.
   if (!put) return put.error();
   held_until_ = record.until_unix_ms;
   return record.fence;
--- a/libs/store/src/kind_replica.cc
+++ b/libs/store/src/kind_replica.cc
@@ -8,91 +8,95 @@
 namespace turmeric::store {
 
 bool KindReplica::IsNew(const SourceObject& object) const {
-  const auto it = held_.find(object.name);
+  const auto it = entries_.find(object.name);
   if (object.deleted) {
-    // The store may tell a deletion by the revision of the last change before,
-    // so it is new as long as nothing later is held under the name.
-    return it != held_.end() && object.revision >= it->second.position;
+    // A deletion may carry the revision of the object's last change before it,
+    // so the deletion is new unless the replica has a later change of the name.
+    return it != entries_.end() && object.revision >= it->second.position;
   }
-  // A list of several pages may hold objects newer than its revision; changes
-  // between the two that come later must not take them back.
-  const Position held = it == held_.end() ? 0 : it->second.position;
-  return !synced_ || object.revision > std::max(revision_, held);
+  // A list of several pages may contain objects newer than its revision. A
+  // change that is older than such an object and arrives after the list must
+  // not revert it.
+  const Position known = it == entries_.end() ? 0 : it->second.position;
+  return !synced_ || object.revision > std::max(revision_, known);
 }
 
-bool KindReplica::IsHeldAsIs(const SourceObject& object) const {
-  const auto it = held_.find(object.name);
-  return it != held_.end() && it->second.content == qHash(object.spec);
+bool KindReplica::HasSameContent(const SourceObject& object) const {
+  const auto it = entries_.find(object.name);
+  return it != entries_.end() && it->second.content_hash == qHash(object.spec);
 }
 
-void KindReplica::Note(const SourceObject& object) {
+void KindReplica::Record(const SourceObject& object) {
   if (object.deleted) {
-    held_.erase(object.name);
+    entries_.erase(object.name);
   } else {
-    held_[object.name] = {object.revision, qHash(object.spec)};
+    entries_[object.name] = {object.revision, qHash(object.spec)};
   }
   newest_change_ = std::max(newest_change_, object.revision);
 }
 
-uint64_t KindReplica::HeldContent() const {
-  uint64_t sum = 1;
-  for (const auto& [name, held] : held_) {
-    sum = sum * 1099511628211ULL ^ qHash(QByteArrayView(name), held.content);
+uint64_t KindReplica::ContentHash() const {
+  uint64_t hash = 1;
+  for (const auto& [name, entry] : entries_) {
+    hash = hash * 1099511628211ULL ^
+           qHash(QByteArrayView(name), entry.content_hash);
   }
-  return std::max<uint64_t>(1, sum);
+  return std::max<uint64_t>(1, hash);
 }
 
 std::optional<ChangeBatch> KindReplica::MergeList(const SourceBatch& list) {
   if (synced_ && list.revision < revision_) return std::nullopt;
-  // A first list holds no changes: what was deleted before it is not told.
-  // Passed on as changes since the beginning, it would leave a follower with
-  // upstreams that are gone.
+  // The first list is no sequence of changes, as it does not contain earlier
+  // deletions. If it were relayed as the changes since revision 0, a follower
+  // would keep upstreams that were deleted before the list.
   ChangeBatch changes{.follows = synced_ ? revision_ : list.revision,
                       .revision = list.revision,
                       .objects = {}};
   const bool later_era = synced_ && EraOf(list.revision) > EraOf(revision_);
-  if (later_era) changes.held_before = HeldContent();
+  if (later_era) changes.held_before = ContentHash();
   std::set<std::string_view> listed;
   for (const SourceObject& object : list.objects) {
     listed.insert(object.name);
-    if (later_era && IsHeldAsIs(object)) {
-      held_[object.name].position = object.revision;
+    if (later_era && HasSameContent(object)) {
+      entries_[object.name].position = object.revision;
     } else if (IsNew(object)) {
       changes.objects.push_back(object);
     }
   }
-  for (const auto& [name, held] : held_) {
+  for (const auto& [name, entry] : entries_) {
     if (listed.contains(name)) continue;
-    // Who has read the new era's list before holds the object as of that.
-    const Position position = later_era ? list.revision : held.position;
+    // A follower that has already read a list of the new era has the object at
+    // a position of that era, and would ignore a deletion at an older one.
+    const Position position = later_era ? list.revision : entry.position;
     changes.objects.push_back(
         {.name = name, .spec = {}, .revision = position, .deleted = true});
   }
   std::ranges::for_each(changes.objects,
-                        [this](const SourceObject& o) { Note(o); });
+                        [this](const SourceObject& o) { Record(o); });
   revision_ = list.revision;
   synced_ = true;
   return changes;
 }
 
-KindReplica::Merged KindReplica::Merge(const ChangeBatch& batch) {
+KindReplica::MergeResult KindReplica::Merge(const ChangeBatch& batch) {
   if (!synced_) return {Outcome::kGap, {}};
   if (batch.revision <= revision_) return {};
-  // Guard: applied to another state than the one that they follow, they would
-  // leave an upstream in use that the copy lacks.
-  const bool joins =
-      LeadsIntoEra(batch)
-          ? batch.follows == revision_ || batch.held_before == HeldContent()
+  // Guard: changes into a new era are the difference between one state and the
+  // restored copy. Applied to any other state, they would leave an upstream in
+  // use that the copy does not contain.
+  const bool applies =
+      CrossesEraBoundary(batch)
+          ? batch.follows == revision_ || batch.held_before == ContentHash()
           : batch.follows <= revision_;
-  if (!joins) return {Outcome::kGap, {}};
-  Merged merged{Outcome::kMerged, {}};
+  if (!applies) return {Outcome::kGap, {}};
+  MergeResult result{Outcome::kMerged, {}};
   for (const SourceObject& object : batch.objects) {
     if (!IsNew(object)) continue;
-    Note(object);
-    merged.news.push_back(object);
+    Record(object);
+    result.changes.push_back(object);
   }
   revision_ = batch.revision;
-  return merged;
+  return result;
 }
 
 }  // namespace turmeric::store
--- a/libs/store/src/memory_store.cc
+++ b/libs/store/src/memory_store.cc
@@ -59,8 +59,8 @@
     std::lock_guard lock(mu_);
     ++counts_.writes;
     if (auto ok = CheckAvailable(); !ok) return ok.error();
-    constexpr size_t kMaxValue = 1 << 20;
-    if (value.size() > kMaxValue) {
+    constexpr size_t kMaxValueBytes = 1 << 20;
+    if (value.size() > kMaxValueBytes) {
       return Fail(Errc::kBadRequest, "value over 1 MB");
     }
     auto it = objects_.find(key);
@@ -80,7 +80,7 @@
     lost = DrawLostAnswer();
   }
   Notify(written);
-  // The write took effect; only its answer goes missing, as on the platform.
+  // The write is applied, and only its answer is lost, as on the platform.
   if (lost) return Fail(Errc::kStoreAnswerLost, "answer lost after write");
   return written;
 }
@@ -129,7 +129,7 @@
         replay.push_back(obj);
       }
     }
-    id = next_watch_++;
+    id = next_watch_id_++;
     watches_[id] = WatchEntry{std::string(prefix), callback};
   }
   std::ranges::sort(replay, {}, &StoredObject::revision);
@@ -143,14 +143,14 @@
 }
 
 void MemoryStore::Notify(const StoredObject& change) {
-  std::vector<WatchCallback> targets;
+  std::vector<WatchCallback> callbacks;
   {
     std::lock_guard lock(mu_);
     for (const auto& [id, w] : watches_) {
-      if (HasPrefix(change.key, w.prefix)) targets.push_back(w.callback);
+      if (HasPrefix(change.key, w.prefix)) callbacks.push_back(w.callback);
     }
   }
-  std::ranges::for_each(targets, [&](const auto& cb) { cb(change); });
+  std::ranges::for_each(callbacks, [&](const auto& cb) { cb(change); });
 }
 
 void MemoryStore::SetFaults(const StoreFaults& faults) {
--- a/libs/store/src/reflector.cc
+++ b/libs/store/src/reflector.cc
@@ -13,46 +13,51 @@
 
 namespace {
 
-/** Longest wait of one watch. A connection can go silent without an end;
- * the next watch then shows it. Short enough that a change is in force
- * within five seconds of such a loss, long enough to be a few calls a
- * minute. */
-constexpr milliseconds kWatchWait{3000};
-/** How much later than others a change may come before our watch counts as
- * lost: a few round trips and a turn of a slow processor. */
-constexpr milliseconds kBehindFor{200};
-/** Least time between two watches that are begun for being behind: what others
- * say must not make an instance call without end. */
-constexpr milliseconds kAnewPause{1000};
-/** A watch ends so much later than it was asked to wait, at most. */
-constexpr milliseconds kWatchOverdue{500};
-/** How often a reflector looks whether its lead has reached the store. */
-constexpr milliseconds kLeadCheck{50};
-/** Wait of a watch while the store is not answering: it only asks whether
- * the store is back, and its loss must cost little. */
-constexpr milliseconds kProbeWait{100};
-/** How much later than others a change may come another way before the store
- * is asked for it: relays pass it on as soon as one of them has seen it. */
-constexpr milliseconds kBehindWhileResting{1000};
-/** Time between two calls to a store that is away, for one of many that rely
- * on others to find out that it is back. */
-constexpr milliseconds kPatientPeriod{2500};
-/** Pause after a change before waiting for the next: well below the two
- * seconds in which a change must be in force. */
-constexpr milliseconds kCoalesce{400};
-
-/** Pause after a second answer in a row that helps nothing, doubled with each
- * further one: an answer that comes at once must not be asked for in a loop. */
-constexpr milliseconds kFirstUselessPause{100};
-constexpr int kMostUselessDoublings = 6;
-
-/** @param times answers in a row that helped nothing. @return the pause. */
-milliseconds PauseAfterUseless(int times) {
-  if (times < 2) return milliseconds(0);
-  return kFirstUselessPause * (1 << std::min(times - 2, kMostUselessDoublings));
+/** Default wait of a watch. A connection can stop delivering data without being
+ * closed, which is noticed when the watch should have ended. The wait is short
+ * enough that a change is in force within 5 s of such a loss, and long enough
+ * for only a few calls per minute. */
+constexpr milliseconds kDefaultWatchWait{3000};
+/** How much later than peers a reflector may receive a change before its watch
+ * counts as lost: covers a few round trips and a scheduling delay. */
+constexpr milliseconds kPeerChangeDelay{200};
+/** Smallest interval between two calls made for CatchUp or for a lost watch, so
+ * that wrong reports of peers cannot cause calls in a loop. */
+constexpr milliseconds kExtraCallGap{1000};
+/** How much longer than its requested wait a watch may be open. */
+constexpr milliseconds kMaxWatchOverrun{500};
+/** Interval at which a reflector checks whether its probe leader has reached
+ * the store. */
+constexpr milliseconds kLeaderPoll{50};
+/** Wait of a watch while the store is unreachable or the reflector passive.
+ * Such a watch only probes the store or catches up, and its loss must be
+ * noticed soon. */
+constexpr milliseconds kProbeWatchWait{100};
+/** How much later than peers a passive reflector's instance may receive a
+ * change before it requests the change from the store. Relays forward a change
+ * as soon as one of them has received it. */
+constexpr milliseconds kPassivePeerChangeDelay{1000};
+/** Interval between two calls to an unreachable store for instances that rely
+ * on other instances to probe it. */
+constexpr milliseconds kSlowRetryInterval{2500};
+/** Delay between a change and the next watch: well below the 2 s within which a
+ * change must be in force. */
+constexpr milliseconds kCoalesceDelay{400};
+
+/** Delay after the second consecutive unproductive answer (an early watch end
+ * without changes, or no history), doubled with each further one. Prevents a
+ * loop of calls when such answers arrive at once. */
+constexpr milliseconds kInitialUnproductiveDelay{100};
+constexpr int kMaxUnproductiveDoublings = 6;
+
+/** @param count consecutive unproductive answers. @return the delay. */
+milliseconds DelayAfterUnproductive(int count) {
+  if (count < 2) return milliseconds(0);
+  return kInitialUnproductiveDelay *
+         (1 << std::min(count - 2, kMaxUnproductiveDoublings));
 }
 
-double DrawSpread() {
+double DrawJitter() {
   static std::minstd_rand engine{std::random_device{}()};
   return std::uniform_real_distribution<double>(0.6, 1.2)(engine);
 }
@@ -62,32 +67,32 @@
 Reflector::Reflector(ObjectSource& source, std::string kind,
                      ReflectorEvents events)
     : source_(source), kind_(std::move(kind)), events_(std::move(events)) {
-  again_.setSingleShot(true);
-  behind_.setSingleShot(true);
-  connect(&behind_, &QTimer::timeout, this, [this] {
-    if (elsewhere_ <= revision_) return;
-    if (waiting_) return WatchAnew();
-    if (resting_) CatchUp();
+  next_call_.setSingleShot(true);
+  peer_timer_.setSingleShot(true);
+  connect(&peer_timer_, &QTimer::timeout, this, [this] {
+    if (peer_change_ <= revision_) return;
+    if (watch_in_flight_) return RestartWatch();
+    if (passive_) CatchUp();
   });
-  connect(&again_, &QTimer::timeout, this, [this] { CallAgain(); });
+  connect(&next_call_, &QTimer::timeout, this, [this] { MakeNextCall(); });
 }
 
 void Reflector::Start() { List(); }
 
-void Reflector::Rest(bool resting) {
-  if (std::exchange(resting_, resting) == resting || !synced_) return;
-  if (resting) return;
-  // What failed before it rested says nothing of the store now, and counted as
-  // an outage it would keep upstreams that have left.
+void Reflector::SetPassive(bool passive) {
+  if (std::exchange(passive_, passive) == passive || !synced_) return;
+  if (passive) return;
+  // Failures from before the passive phase do not show the store's present
+  // state. Counted as an outage, they would keep upstreams that have left.
   reachable_ = true;
   failures_ = 0;
-  heard_at_ = steady_clock::now();
-  if (!calling_ && !again_.isActive()) CallAgain();
+  last_contact_at_ = steady_clock::now();
+  if (!call_in_flight_ && !next_call_.isActive()) MakeNextCall();
 }
 
-void Reflector::set_patient(bool patient) {
-  const bool was_patient = std::exchange(patient_, patient);
-  if (was_patient && !patient && again_.isActive()) again_.start(kLeadCheck);
+void Reflector::set_slow_retry(bool slow) {
+  const bool was_slow = std::exchange(slow_retry_, slow);
+  if (was_slow && !slow && next_call_.isActive()) next_call_.start(kLeaderPoll);
 }
 
 void Reflector::AdvanceTo(int64_t revision) {
@@ -95,14 +100,15 @@
 }
 
 void Reflector::CatchUp() {
-  if (waiting_ && was_catching_up_) return;
-  catch_up_ = true;
-  if (calling_ || again_.isActive()) return;
+  if (watch_in_flight_ && watch_is_catch_up_) return;
+  catch_up_pending_ = true;
+  if (call_in_flight_ || next_call_.isActive()) return;
   const auto now = steady_clock::now();
-  const auto since = std::chrono::duration_cast<milliseconds>(now - anew_at_);
-  if (since < kAnewPause) return again_.start(kAnewPause - since);
-  anew_at_ = now;
-  CallAgain();
+  const auto since =
+      std::chrono::duration_cast<milliseconds>(now - last_extra_call_at_);
+  if (since < kExtraCallGap) return next_call_.start(kExtraCallGap - since);
+  last_extra_call_at_ = now;
+  MakeNextCall();
 }
 
 void Reflector::CatchUpByList() {
@@ -110,150 +116,155 @@
   CatchUp();
 }
 
-// Begins the next call after a pause, unless there is none to make.
-void Reflector::Continue(milliseconds pause) {
-  if (resting_ && !catch_up_) return;
-  if (pause > milliseconds(0)) return again_.start(pause);
-  CallAgain();
+// Makes the next call after `delay`, unless the reflector is passive and has
+// nothing to catch up with.
+void Reflector::ScheduleNextCall(milliseconds delay) {
+  if (passive_ && !catch_up_pending_) return;
+  if (delay > milliseconds(0)) return next_call_.start(delay);
+  MakeNextCall();
 }
 
-void Reflector::CallAgain() {
-  if (resting_ && !catch_up_ && synced_) return;
-  // A store that is away is asked by every instance several times a second; one
-  // of its reflectors is enough for that.
-  const bool lead_asks =
-      lead_ != nullptr && lead_->synced() && !lead_->reachable() && !reachable_;
-  if (lead_asks) return again_.start(kLeadCheck);
+void Reflector::MakeNextCall() {
+  if (passive_ && !catch_up_pending_ && synced_) return;
+  // Every instance probes an unreachable store several times a second; a single
+  // reflector per instance is enough for that.
+  const bool leader_probes = probe_leader_ != nullptr &&
+                             probe_leader_->synced() &&
+                             !probe_leader_->reachable() && !reachable_;
+  if (leader_probes) return next_call_.start(kLeaderPoll);
   list_next_ ? List() : Watch();
 }
 
 void Reflector::List() {
-  called_at_ = steady_clock::now();
-  calling_ = true;
+  call_started_at_ = steady_clock::now();
+  call_in_flight_ = true;
   source_.List(kind_, ObjectSource::Freshness::kLinearizable,
                [this](const auto& batch) { OnListed(batch); });
 }
 
 void Reflector::Watch() {
-  // Guard: a call sent just before a silent store returns is never answered.
-  // With the full wait it would be given up seconds after the return, and a
-  // configuration accepted meanwhile would come into force too late.
-  const bool only_asks = !reachable_ || resting_;
-  wait_ = only_asks ? kProbeWait : UsualWait();
-  called_at_ = steady_clock::now();
-  calling_ = true;
-  waiting_ = true;
-  was_catching_up_ = std::exchange(catch_up_, false);
-  source_.Watch(
-      kind_, revision_, wait_,
-      [this, number = ++watch_number_, from = revision_](const auto& batch) {
-        if (number == watch_number_) OnChanges(from, batch);
-      });
+  // Guard: a call sent just before an unreachable store recovers may never be
+  // answered. With the full wait it would time out seconds after the recovery,
+  // and a configuration accepted meanwhile would come into force too late.
+  const bool probe_only = !reachable_ || passive_;
+  requested_wait_ = probe_only ? kProbeWatchWait : NormalWatchWait();
+  call_started_at_ = steady_clock::now();
+  call_in_flight_ = true;
+  watch_in_flight_ = true;
+  watch_is_catch_up_ = std::exchange(catch_up_pending_, false);
+  source_.Watch(kind_, revision_, requested_wait_,
+                [this, sequence = ++watch_sequence_,
+                 from = revision_](const auto& batch) {
+                  if (sequence == watch_sequence_) OnChanges(from, batch);
+                });
 }
 
-milliseconds Reflector::UsualWait() const {
-  return watch_wait_ ? watch_wait_() : kWatchWait;
+milliseconds Reflector::NormalWatchWait() const {
+  return watch_wait_ ? watch_wait_() : kDefaultWatchWait;
 }
 
-void Reflector::WatchAnew() {
+void Reflector::RestartWatch() {
   const auto now = steady_clock::now();
-  if (now < anew_at_ + kAnewPause) return;
-  anew_at_ = now;
+  if (now < last_extra_call_at_ + kExtraCallGap) return;
+  last_extra_call_at_ = now;
   Watch();
 }
 
-void Reflector::NoteChangeElsewhere(int64_t revision) {
-  elsewhere_ = std::max(elsewhere_, revision);
-  const bool could_act = waiting_ || resting_;
-  if (!could_act || elsewhere_ <= revision_ || behind_.isActive()) return;
-  behind_.start(resting_ ? kBehindWhileResting : kBehindFor);
+void Reflector::OnPeerChange(int64_t revision) {
+  peer_change_ = std::max(peer_change_, revision);
+  const bool can_call = watch_in_flight_ || passive_;
+  if (!can_call || peer_change_ <= revision_ || peer_timer_.isActive()) return;
+  peer_timer_.start(passive_ ? kPassivePeerChangeDelay : kPeerChangeDelay);
 }
 
-// Guard: a long watch that is lost with a silent store shows only at its end.
-// Long ones are begun while other instances are heard, which would tell of
-// changes; once they are not, the watch must not go on for longer than usual.
-void Reflector::CheckWait() {
-  if (!waiting_ || !reachable_ || resting_) return;
-  const auto waited = std::chrono::duration_cast<milliseconds>(
-      steady_clock::now() - called_at_);
-  if (waited > UsualWait() + kWatchOverdue) WatchAnew();
+// Guard: the loss of a long watch is noticed only when the watch should have
+// ended. Long watches are started while messages of peers, which report
+// changes, are received. Once they are not, the open watch must not last longer
+// than a watch that is started now.
+void Reflector::CheckWatchOverdue() {
+  if (!watch_in_flight_ || !reachable_ || passive_) return;
+  const auto open_for = std::chrono::duration_cast<milliseconds>(
+      steady_clock::now() - call_started_at_);
+  if (open_for > NormalWatchWait() + kMaxWatchOverrun) RestartWatch();
 }
 
-milliseconds Reflector::Outage() const {
+milliseconds Reflector::OutageDuration() const {
   if (reachable_ || !synced_) return milliseconds(0);
   return std::chrono::duration_cast<milliseconds>(steady_clock::now() -
-                                                  heard_at_);
+                                                  last_contact_at_);
 }
 
-void Reflector::Heard() {
+void Reflector::RecordAnswer() {
   failures_ = 0;
-  heard_at_ = answered_at_ = steady_clock::now();
+  last_contact_at_ = last_answer_at_ = steady_clock::now();
   if (!std::exchange(reachable_, true)) events_.on_reachable(true, "answered");
 }
 
 void Reflector::OnListed(const utils::Result<SourceBatch>& batch) {
-  calling_ = false;
+  call_in_flight_ = false;
   if (!batch) return OnError(batch.error());
-  const milliseconds outage = Outage();
-  Heard();
+  const milliseconds outage = OutageDuration();
+  RecordAnswer();
   synced_ = true;
   list_next_ = false;
-  catch_up_ = false;
+  catch_up_pending_ = false;
   AdvanceTo(batch.value().revision);
   events_.on_list(batch.value(), outage);
-  Continue(milliseconds(0));
+  ScheduleNextCall(milliseconds(0));
 }
 
 void Reflector::OnChanges(int64_t follows,
                           const utils::Result<SourceBatch>& batch) {
-  calling_ = false;
-  waiting_ = false;
+  call_in_flight_ = false;
+  watch_in_flight_ = false;
   if (!batch) return OnError(batch.error());
-  const milliseconds outage = Outage();
-  Heard();
-  gone_ = 0;
+  const milliseconds outage = OutageDuration();
+  RecordAnswer();
+  history_gone_count_ = 0;
   const SourceBatch& answer = batch.value();
   AdvanceTo(answer.revision);
   events_.on_changes({.follows = follows,
                       .revision = std::max(follows, answer.revision),
                       .objects = answer.objects},
                      outage);
-  // Changes come in series (upstreams replaced one after the other, stores of
-  // settings): what follows within the pause comes with one call instead of
-  // one each.
-  if (!answer.objects.empty()) early_ = 0;
-  Continue(answer.objects.empty() ? PauseAfterNothing() : kCoalesce);
+  // Changes come in series (upstreams replaced one after the other, series of
+  // settings writes). All changes within the delay are received with one call
+  // instead of one call each.
+  if (!answer.objects.empty()) early_watch_count_ = 0;
+  ScheduleNextCall(answer.objects.empty() ? DelayAfterEmptyWatch()
+                                          : kCoalesceDelay);
 }
 
-milliseconds Reflector::PauseAfterNothing() {
-  const bool early = steady_clock::now() - called_at_ < wait_ / 2;
-  early_ = early ? early_ + 1 : 0;
-  return PauseAfterUseless(early_);
+milliseconds Reflector::DelayAfterEmptyWatch() {
+  const bool early =
+      steady_clock::now() - call_started_at_ < requested_wait_ / 2;
+  early_watch_count_ = early ? early_watch_count_ + 1 : 0;
+  return DelayAfterUnproductive(early_watch_count_);
 }
 
-// Guard: a store that has no history for what a list has just told would be
-// called in a loop.
+// Guard: a store that has no history for the revision of the list it has just
+// returned would be called in a loop without the delay.
 void Reflector::OnHistoryGone() {
   list_next_ = true;
-  catch_up_ = catch_up_ || was_catching_up_ || !synced_;
-  Continue(PauseAfterUseless(++gone_));
+  catch_up_pending_ = catch_up_pending_ || watch_is_catch_up_ || !synced_;
+  ScheduleNextCall(DelayAfterUnproductive(++history_gone_count_));
 }
 
 void Reflector::OnError(const utils::Error& error) {
   if (error.code == utils::Errc::kStoreRevisionGone) return OnHistoryGone();
   ++failures_;
-  catch_up_ = catch_up_ || was_catching_up_;
+  catch_up_pending_ = catch_up_pending_ || watch_is_catch_up_;
   const bool was_reachable = std::exchange(reachable_, false);
   if (was_reachable || failures_ == 1) {
     events_.on_reachable(false, error.detail);
   }
-  const auto call_took = std::chrono::duration_cast<milliseconds>(
-      steady_clock::now() - called_at_);
-  const double spread = DrawSpread();
-  const milliseconds pause = PauseAfterFailure(failures_, call_took, spread);
-  if (!patient_ || !synced_) return again_.start(pause);
-  again_.start(std::max(pause, std::chrono::duration_cast<milliseconds>(
-                                   kPatientPeriod * spread)));
+  const auto call_duration = std::chrono::duration_cast<milliseconds>(
+      steady_clock::now() - call_started_at_);
+  const double jitter = DrawJitter();
+  const milliseconds delay = RetryDelay(failures_, call_duration, jitter);
+  if (!slow_retry_ || !synced_) return next_call_.start(delay);
+  next_call_.start(std::max(delay, std::chrono::duration_cast<milliseconds>(
+                                       kSlowRetryInterval * jitter)));
 }
 
 }  // namespace turmeric::store
--- a/libs/store/src/remote_store.cc
+++ b/libs/store/src/remote_store.cc
@@ -32,23 +32,28 @@
   return QJsonDocument::fromJson(answer.body).object();
 }
 
-/** @param lost what a missing answer means for this call. */
-utils::Error ErrorOf(const ApiAnswer& answer, std::string_view what,
+/**
+ * Maps an answer to an error.
+ * @param answer an answer other than 200.
+ * @param target key or prefix of the call, for the error text.
+ * @param lost error code for a call that was sent and not answered.
+ */
+utils::Error ErrorOf(const ApiAnswer& answer, std::string_view target,
                      Errc lost) {
   switch (answer.status) {
     case 400:
-      return {Errc::kBadRequest, std::string(what)};
+      return {Errc::kBadRequest, std::string(target)};
     case 404:
-      return {Errc::kStoreNotFound, std::string(what)};
+      return {Errc::kStoreNotFound, std::string(target)};
     case 409:
-      return {Errc::kStoreConflict, std::string(what)};
+      return {Errc::kStoreConflict, std::string(target)};
     case 410:
-      return {Errc::kStoreRevisionGone, std::string(what)};
+      return {Errc::kStoreRevisionGone, std::string(target)};
     case 503:
-      return {Errc::kStoreUnavailable, std::string(what)};
+      return {Errc::kStoreUnavailable, std::string(target)};
     default:
       return {answer.not_sent ? Errc::kStoreUnavailable : lost,
-              std::string(what) + ": no answer"};
+              std::string(target) + ": no answer"};
   }
 }
 
@@ -70,17 +75,18 @@
 
 bool RemoteStore::BreakerOpen() {
   std::lock_guard lock(mu_);
-  return std::chrono::steady_clock::now() < open_till_;
+  return std::chrono::steady_clock::now() < breaker_open_until_;
 }
 
-void RemoteStore::NoteOutcome(bool answered) {
-  // Guard: while the store is silent each call waits for its timeout; with
-  // every store thread waiting, requests would queue behind them past their
-  // deadlines. After one failure calls fail at once for a moment.
+void RemoteStore::UpdateBreaker(bool answered) {
+  // Guard: while the store does not answer, each call blocks until its
+  // timeout. With all threads of the store executor blocked, further calls
+  // would be queued beyond the deadlines of their requests. After an
+  // unanswered call, calls therefore fail at once for `breaker_pause`.
   std::lock_guard lock(mu_);
-  open_till_ = answered
-                   ? std::chrono::steady_clock::time_point()
-                   : std::chrono::steady_clock::now() + options_.breaker_pause;
+  breaker_open_until_ =
+      answered ? std::chrono::steady_clock::time_point()
+               : std::chrono::steady_clock::now() + options_.breaker_pause;
 }
 
 ApiAnswer RemoteStore::Call(const QByteArray& method, const std::string& path,
@@ -95,7 +101,7 @@
                   [promise](ApiAnswer a) { promise->set_value(std::move(a)); });
       });
   ApiAnswer answer = future.get();
-  NoteOutcome(answer.status != 0);
+  UpdateBreaker(answer.status != 0);
   return answer;
 }
 
@@ -146,7 +152,7 @@
   int64_t id = 0;
   {
     std::lock_guard lock(mu_);
-    id = next_watch_++;
+    id = next_watch_id_++;
   }
   auto promise = std::make_shared<std::promise<ApiAnswer>>();
   auto future = promise->get_future();
--- a/libs/store/src/watch_keeper.cc
+++ b/libs/store/src/watch_keeper.cc
@@ -11,19 +11,19 @@
 
 using std::chrono::milliseconds;
 
-constexpr milliseconds kCheckEvery{100};
-constexpr milliseconds kFirstBackOff{200};
+constexpr milliseconds kCheckInterval{100};
+constexpr milliseconds kInitialBackoff{200};
 /** A change must be in force within 5 s, also right after an outage. */
-constexpr milliseconds kLongestBackOff{3000};
-constexpr int kMostDoublings = 4;
+constexpr milliseconds kMaxBackoff{3000};
+constexpr int kMaxDoublings = 4;
 
 }  // namespace
 
 WatchKeeper::WatchKeeper(ResumableWatch& watch, StoreExecutor& executor,
                          std::string name)
     : watch_(watch), executor_(executor), name_(std::move(name)) {
-  check_.setSingleShot(true);
-  connect(&check_, &QTimer::timeout, this, [this] { Check(); });
+  check_timer_.setSingleShot(true);
+  connect(&check_timer_, &QTimer::timeout, this, [this] { Check(); });
 }
 
 void WatchKeeper::Start() { Check(); }
@@ -40,7 +40,7 @@
     }
   }
   if (armed || arming_) {
-    check_.start(kCheckEvery);
+    check_timer_.start(kCheckInterval);
     return;
   }
   arming_ = true;
@@ -53,15 +53,16 @@
           Check();
           return;
         }
-        // Guard: after an outage every instance re-arms; all at once that is
-        // more than half the store's reads for a second. Full jitter spreads
-        // the fleet over the back-off.
+        // Guard: after an outage every instance arms its watches again. If all
+        // did so at the same time, their calls would be more than half of the
+        // store's reads in that second. Full jitter spreads the instances over
+        // the backoff.
         const milliseconds cap = std::min(
-            kLongestBackOff,
-            kFirstBackOff * (1 << std::min(failures_, kMostDoublings)));
+            kMaxBackoff,
+            kInitialBackoff * (1 << std::min(failures_, kMaxDoublings)));
         std::uniform_int_distribution<int> wait(1,
                                                 static_cast<int>(cap.count()));
-        check_.start(wait(rng_));
+        check_timer_.start(wait(rng_));
       });
 }
 
--- a/libs/store/test/backoff_test.cc
+++ b/libs/store/test/backoff_test.cc
@@ -6,39 +6,40 @@
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using std::chrono::milliseconds;
-using turmeric::store::PauseAfterFailure;
+using turmeric::store::RetryDelay;
 
-// Story: an instance is cut off from the store for twelve seconds; an upstream
-// begins to leave just as the cut ends. The call that was under way is given
-// up 400 ms later, and the next one came up to 960 ms after that. With the two
-// seconds for which missing upstreams are kept, a request still reached the
-// leaving upstream three seconds after its entry had gone.
-TEST_CASE("after a silent call the next one follows soon") {
-  constexpr milliseconds kGivenUpAfter = 400ms;
+// Guards against requests to an upstream that has left. An instance is cut off
+// from the store for 12 s, and an upstream is removed just as the cut ends. The
+// call in flight times out after 400 ms; if the next one followed up to 960 ms
+// later, the 2 s for which missing upstreams are kept would be added to that,
+// and requests would still be sent 3 s after the removal.
+TEST_CASE("a timed-out call is retried soon") {
+  constexpr milliseconds kCallTimeout = 400ms;
   for (int failures = 1; failures < 20; ++failures) {
-    const milliseconds heard_again =
-        kGivenUpAfter + PauseAfterFailure(failures, kGivenUpAfter, 1.2);
-    REQUIRE(heard_again <= 600ms);
+    const milliseconds period =
+        kCallTimeout + RetryDelay(failures, kCallTimeout, 1.2);
+    REQUIRE(period <= 600ms);
   }
 }
 
-// Story: the store refuses every call at once while it is overloaded. Called
-// again without a growing pause, a fleet would keep it overloaded.
-TEST_CASE("refused calls come at growing distances") {
-  REQUIRE(PauseAfterFailure(1, 0ms, 1.0) == 100ms);
-  REQUIRE(PauseAfterFailure(2, 0ms, 1.0) == 200ms);
-  REQUIRE(PauseAfterFailure(3, 0ms, 1.0) == 400ms);
-  REQUIRE(PauseAfterFailure(4, 0ms, 1.0) == 500ms);
-  REQUIRE(PauseAfterFailure(1000, 0ms, 1.0) == 500ms);
+// Guards against a fleet that keeps an overloaded store overloaded. The store
+// refuses every call at once; without a growing delay it would be called in a
+// loop.
+TEST_CASE("refused calls are retried with a growing delay") {
+  REQUIRE(RetryDelay(1, 0ms, 1.0) == 100ms);
+  REQUIRE(RetryDelay(2, 0ms, 1.0) == 200ms);
+  REQUIRE(RetryDelay(3, 0ms, 1.0) == 400ms);
+  REQUIRE(RetryDelay(4, 0ms, 1.0) == 500ms);
+  REQUIRE(RetryDelay(1000, 0ms, 1.0) == 500ms);
 }
 
-TEST_CASE("calls are never repeated without a pause") {
+TEST_CASE("calls are never retried without a delay") {
   REQUIRE(rc::check([] {
     const int failures = *rc::gen::inRange(1, 10000);
-    const auto took = milliseconds(*rc::gen::inRange(0, 100000));
-    const double spread = *rc::gen::inRange(60, 121) / 100.0;
-    const auto pause = PauseAfterFailure(failures, took, spread);
-    RC_ASSERT(pause >= 50ms);
-    RC_ASSERT(pause <= 600ms);
+    const auto call_duration = milliseconds(*rc::gen::inRange(0, 100000));
+    const double jitter = *rc::gen::inRange(60, 121) / 100.0;
+    const auto delay = RetryDelay(failures, call_duration, jitter);
+    RC_ASSERT(delay >= 50ms);
+    RC_ASSERT(delay <= 600ms);
   }));
 }
--- a/libs/store/test/kind_replica_test.cc
+++ b/libs/store/test/kind_replica_test.cc
@@ -25,7 +25,8 @@
   return {.name = name, .spec = {}, .revision = revision, .deleted = deleted};
 }
 
-KindReplica ListedAt(int64_t revision, std::vector<SourceObject> objects) {
+KindReplica ReplicaFromList(int64_t revision,
+                            std::vector<SourceObject> objects) {
   KindReplica replica;
   replica.MergeList({.objects = std::move(objects), .revision = revision});
   return replica;
@@ -34,22 +35,22 @@
 }  // namespace
 
 TEST_CASE("a batch is merged once") {
-  KindReplica replica = ListedAt(10, {Object("a", 4)});
+  KindReplica replica = ReplicaFromList(10, {Object("a", 4)});
   const ChangeBatch batch{10, 12, {Object("a", 12)}};
-  REQUIRE(replica.Merge(batch).news.size() == 1);
+  REQUIRE(replica.Merge(batch).changes.size() == 1);
   REQUIRE(replica.revision() == 12);
   REQUIRE(replica.newest_change() == 12);
   REQUIRE(replica.Merge(batch).outcome == Outcome::kKnown);
 }
 
-// Story: an instance misses a batch in which an upstream begins to leave, and
-// gets the next one. Taken for everything up to it, the upstream would be
-// given work for ever.
+// Guards against requests to an upstream that has left. An instance misses the
+// batch with the removal and receives the next one. If it applied that batch,
+// it would advance past the removal and never learn of it.
 TEST_CASE("a batch whose predecessor is missing changes nothing") {
-  KindReplica replica = ListedAt(10, {});
+  KindReplica replica = ReplicaFromList(10, {});
   const auto merged = replica.Merge({12, 14, {Object("b", 13)}});
   REQUIRE(merged.outcome == Outcome::kGap);
-  REQUIRE(merged.news.empty());
+  REQUIRE(merged.changes.empty());
   REQUIRE(replica.revision() == 10);
 }
 
@@ -58,32 +59,33 @@
   REQUIRE(replica.Merge({0, 14, {Object("b", 13)}}).outcome == Outcome::kGap);
 }
 
-// Story: two relays cut the same changes into different batches. The second
-// one's batch reaches further back and holds an older state of an upstream
-// that has begun to leave since: it must not be brought back.
-TEST_CASE("what overlaps is not applied again") {
-  KindReplica replica = ListedAt(10, {Object("a", 4)});
-  REQUIRE(replica.Merge({10, 15, {Object("a", 14)}}).news.size() == 1);
+// Guards against an upstream that is restored to an older state. Two relays
+// split the same changes into different batches. The batch of the second relay
+// starts earlier and contains an older state of an upstream that has begun to
+// leave since.
+TEST_CASE("overlapping changes are applied only once") {
+  KindReplica replica = ReplicaFromList(10, {Object("a", 4)});
+  REQUIRE(replica.Merge({10, 15, {Object("a", 14)}}).changes.size() == 1);
   const auto merged =
       replica.Merge({10, 17, {Object("a", 12), Object("b", 16)}});
   REQUIRE(merged.outcome == Outcome::kMerged);
-  REQUIRE(merged.news.size() == 1);
-  REQUIRE(merged.news[0].name == "b");
+  REQUIRE(merged.changes.size() == 1);
+  REQUIRE(merged.changes[0].name == "b");
 }
 
-// Story: an upstream's entry is removed and written again under its name. The
-// deletion comes once more by a slower path, with the revision of the entry's
-// last change before: the new entry stays.
-TEST_CASE("a late deletion does not remove what was written since") {
-  KindReplica replica = ListedAt(10, {Object("a", 4)});
+// Guards against the loss of a new entry. An upstream's entry is deleted and
+// written again under the same name. The deletion then arrives a second time by
+// a slower path, with the revision of the entry's last change before it.
+TEST_CASE("a late deletion does not remove a newer object") {
+  KindReplica replica = ReplicaFromList(10, {Object("a", 4)});
   replica.Merge({10, 14, {Object("a", 4, true), Object("a", 13)}});
   const auto merged = replica.Merge({10, 15, {Object("a", 4, true)}});
-  REQUIRE(merged.news.empty());
+  REQUIRE(merged.changes.empty());
   REQUIRE(replica.revision() == 15);
 }
 
-TEST_CASE("a list tells what is missing as deleted") {
-  KindReplica replica = ListedAt(10, {Object("a", 4), Object("b", 5)});
+TEST_CASE("objects missing from a list are reported as deleted") {
+  KindReplica replica = ReplicaFromList(10, {Object("a", 4), Object("b", 5)});
   const auto changes = replica.MergeList(
       {.objects = {Object("b", 5), Object("c", 19)}, .revision = 20});
   REQUIRE(changes);
@@ -95,17 +97,17 @@
   REQUIRE(changes->objects[1].deleted);
 }
 
-// Story: a read that may be stale is answered late. The configuration of
-// before would come back into force.
-TEST_CASE("a list that is older than what is known is not taken") {
-  KindReplica replica = ListedAt(10, {Object("a", 4)});
+// Guards against an older configuration coming back into force when a read that
+// may be stale is answered late.
+TEST_CASE("a list older than the replica is ignored") {
+  KindReplica replica = ReplicaFromList(10, {Object("a", 4)});
   replica.Merge({10, 14, {Object("a", 13)}});
   REQUIRE_FALSE(
       replica.MergeList({.objects = {Object("a", 4)}, .revision = 12}));
   REQUIRE(replica.revision() == 14);
 }
 
-TEST_CASE("a history gives what came after a revision") {
+TEST_CASE("a history returns the changes after a revision") {
   ChangeHistory history(3);
   REQUIRE_FALSE(history.Since(0));
   history.Add({10, 12, {Object("a", 12)}});
@@ -121,10 +123,11 @@
   REQUIRE(history.Since(12)->objects.size() == 3);
 }
 
-// Story: a relay restarts and lists the store. A follower that knew an upstream
-// which has gone meanwhile asks it for what it missed: the list does not tell
-// that the upstream is gone, so the follower must see a gap.
-TEST_CASE("a first list is no history") {
+// Guards against a follower that keeps a deleted upstream. A relay restarts and
+// lists the store; a follower that has an upstream which was deleted meanwhile
+// requests the missed changes. The list does not contain the deletion, so the
+// follower must receive a gap.
+TEST_CASE("a history does not reach back before the first list") {
   KindReplica relay;
   ChangeHistory history(10);
   history.Add(*relay.MergeList(
@@ -133,49 +136,50 @@
   REQUIRE(history.Since(10)->objects.empty());
 }
 
-// A store whose objects are written and deleted in any order, and an instance
-// that gets any parts of its history, in any order, again and again, lists
-// among them: it always holds what the store held at its revision, and the
-// revision never goes back.
-TEST_CASE("a replica is the store as of its revision") {
+// Guards against lost, repeated or reverted changes. Objects are written and
+// deleted at random, and an instance receives random parts of the history and
+// random lists, in any order and repeatedly. Its state must always equal the
+// store's state at its revision, and its revision must never decrease.
+TEST_CASE("a replica equals the store at its revision") {
   REQUIRE(rc::check("any order of batches", [] {
-    using Contents = std::map<std::string, int64_t>;
+    using State = std::map<std::string, int64_t>;
     const auto writes = *rc::gen::inRange(1, 25);
     const bool deletions_have_own_revision = *rc::gen::arbitrary<bool>();
-    std::vector<Contents> at(1);
+    std::vector<State> states(1);
     std::vector<SourceObject> log;
     for (int i = 1; i <= writes; ++i) {
       const std::string name(1, *rc::gen::inRange('a', 'e'));
-      Contents now = at.back();
-      const auto held = now.find(name);
-      if (held != now.end() && *rc::gen::arbitrary<bool>()) {
-        log.push_back(
-            Object(name, deletions_have_own_revision ? i : held->second, true));
-        now.erase(held);
+      State now = states.back();
+      const auto found = now.find(name);
+      if (found != now.end() && *rc::gen::arbitrary<bool>()) {
+        log.push_back(Object(
+            name, deletions_have_own_revision ? i : found->second, true));
+        now.erase(found);
       } else {
         log.push_back(Object(name, i));
         now[name] = i;
       }
-      at.push_back(now);
+      states.push_back(now);
     }
     KindReplica replica;
-    Contents held;
-    const auto apply = [&](const std::vector<SourceObject>& news) {
-      for (const SourceObject& object : news) {
+    State state;
+    const auto apply = [&](const std::vector<SourceObject>& changes) {
+      for (const SourceObject& object : changes) {
         if (object.deleted) {
-          held.erase(object.name);
+          state.erase(object.name);
         } else {
-          held[object.name] = object.revision;
+          state[object.name] = object.revision;
         }
       }
     };
     for (int step = 0; step < 40; ++step) {
       const auto from = *rc::gen::inRange(0, writes + 1);
-      const auto till = *rc::gen::inRange(from, writes + 1);
+      const auto until = *rc::gen::inRange(from, writes + 1);
       const int64_t before = replica.revision();
       if (*rc::gen::inRange(0, 4) == 0) {
-        SourceBatch list{.objects = {}, .revision = till};
-        for (const auto& [name, revision] : at[static_cast<size_t>(till)]) {
+        SourceBatch list{.objects = {}, .revision = until};
+        for (const auto& [name, revision] :
+             states[static_cast<size_t>(until)]) {
           list.objects.push_back(Object(name, revision));
         }
         if (const auto changes = replica.MergeList(list)) {
@@ -183,14 +187,14 @@
         }
       } else {
         apply(replica
-                  .Merge({from, till,
+                  .Merge({from, until,
                           std::vector<SourceObject>(log.begin() + from,
-                                                    log.begin() + till)})
-                  .news);
+                                                    log.begin() + until)})
+                  .changes);
       }
       RC_ASSERT(replica.revision() >= before);
       if (replica.synced()) {
-        RC_ASSERT(held == at[static_cast<size_t>(replica.revision())]);
+        RC_ASSERT(state == states[static_cast<size_t>(replica.revision())]);
       }
     }
   }));
@@ -198,29 +202,30 @@
 
 namespace {
 
-SourceObject With(const std::string& name, const char* content,
-                  Position position) {
+SourceObject ObjectWith(const std::string& name, const char* content,
+                        Position position) {
   return {.name = name,
           .spec = {{"content", content}},
           .revision = position,
           .deleted = false};
 }
 
-/** Knows "a" and "b" at revision 30 of era 1. */
-KindReplica BeforeReturn() {
-  return ListedAt(MakePosition(1, 30), {With("a", "x", MakePosition(1, 10)),
-                                        With("b", "y", MakePosition(1, 30))});
+/** @return a replica with "a" and "b" at revision 30 of era 1. */
+KindReplica ReplicaInEraOne() {
+  return ReplicaFromList(MakePosition(1, 30),
+                         {ObjectWith("a", "x", MakePosition(1, 10)),
+                          ObjectWith("b", "y", MakePosition(1, 30))});
 }
 
 }  // namespace
 
-// Guards against a list of a store that came back from an older copy being
-// dropped for its lower revision.
-TEST_CASE("a list of a later era is taken, and only what differs is a change") {
-  KindReplica replica = BeforeReturn();
+// Guards against ignoring the list of a store that was restored from an older
+// copy because the list's revision is lower.
+TEST_CASE("a list of a later era is merged, and only differences are changes") {
+  KindReplica replica = ReplicaInEraOne();
   const auto changes =
-      replica.MergeList({.objects = {With("a", "x", MakePosition(2, 10)),
-                                     With("c", "z", MakePosition(2, 12))},
+      replica.MergeList({.objects = {ObjectWith("a", "x", MakePosition(2, 10)),
+                                     ObjectWith("c", "z", MakePosition(2, 12))},
                          .revision = MakePosition(2, 20)});
   REQUIRE(changes);
   REQUIRE(changes->follows == MakePosition(1, 30));
@@ -229,47 +234,50 @@
   REQUIRE(changes->objects[0].name == "c");
   REQUIRE(changes->objects[1].name == "b");
   REQUIRE(changes->objects[1].deleted);
-  // A change at a revision that was given out before.
-  const auto merged = replica.Merge({MakePosition(2, 20),
-                                     MakePosition(2, 25),
-                                     {With("a", "w", MakePosition(2, 25))}});
-  REQUIRE(merged.news.size() == 1);
+  // A change at a revision that era 1 has already assigned.
+  const auto merged =
+      replica.Merge({MakePosition(2, 20),
+                     MakePosition(2, 25),
+                     {ObjectWith("a", "w", MakePosition(2, 25))}});
+  REQUIRE(merged.changes.size() == 1);
 }
 
-// Guards against a slow answer that takes back what a new era has told.
-TEST_CASE("what an earlier era says is never applied") {
-  KindReplica replica = BeforeReturn();
+// Guards against a late answer of the previous era that reverts the state of
+// the new one.
+TEST_CASE("changes and lists of an earlier era are never applied") {
+  KindReplica replica = ReplicaInEraOne();
   replica.MergeList({.objects = {}, .revision = MakePosition(2, 20)});
   REQUIRE_FALSE(
       replica.MergeList({.objects = {}, .revision = MakePosition(1, 90)}));
-  const auto merged = replica.Merge({MakePosition(1, 30),
-                                     MakePosition(1, 90),
-                                     {With("a", "w", MakePosition(1, 90))}});
+  const auto merged =
+      replica.Merge({MakePosition(1, 30),
+                     MakePosition(1, 90),
+                     {ObjectWith("a", "w", MakePosition(1, 90))}});
   REQUIRE(merged.outcome == Outcome::kKnown);
   REQUIRE(replica.revision() == MakePosition(2, 20));
 }
 
-// Guards against an upstream that stays in use as the relay never knew of it.
-TEST_CASE("changes into a later era need the state that they follow") {
-  KindReplica replica = BeforeReturn();
+// Guards against an upstream that stays in use because the relay whose changes
+// lead into the new era never had it.
+TEST_CASE("changes into a later era apply only to the state that they follow") {
+  KindReplica replica = ReplicaInEraOne();
   const ChangeBatch from_other{MakePosition(1, 28), MakePosition(2, 20), {}};
   REQUIRE(replica.Merge(from_other).outcome == Outcome::kGap);
   const ChangeBatch from_same{MakePosition(1, 30), MakePosition(2, 20), {}};
   REQUIRE(replica.Merge(from_same).outcome == Outcome::kMerged);
 }
 
-// Guards against followers that go over into an era from a state that the
-// relay's changes do not start from.
-TEST_CASE(
-    "a history passes changes into an era only to who knows their start") {
+// Guards against followers that enter an era from a state other than the one
+// from which the relay's changes start.
+TEST_CASE("a history returns changes into an era only for their start state") {
   ChangeHistory history(8);
-  history.BeginAt(MakePosition(1, 10));
+  history.ResetTo(MakePosition(1, 10));
   history.Add({MakePosition(1, 10), MakePosition(2, 4), {}});
   REQUIRE(history.Since(MakePosition(1, 10)));
   REQUIRE_FALSE(history.Since(MakePosition(1, 12)));
   history.Add({MakePosition(2, 4),
                MakePosition(2, 6),
-               {With("a", "x", MakePosition(2, 6))}});
+               {ObjectWith("a", "x", MakePosition(2, 6))}});
   REQUIRE_FALSE(history.Since(MakePosition(1, 12)));
   REQUIRE(history.Since(MakePosition(1, 10))->objects.size() == 1);
   REQUIRE(history.Since(MakePosition(2, 4))->objects.size() == 1);
--- a/libs/store/test/memory_store_test.cc
+++ b/libs/store/test/memory_store_test.cc
@@ -19,9 +19,9 @@
   });
 }
 
-TEST_CASE("a lost answer still applied the write") {
-  // The platform applies a write, then the answer is lost on the way back;
-  // the writer sees an error but the object is there at version 1.
+TEST_CASE("a write whose answer is lost is applied") {
+  // The platform applies a write, and its answer is lost. The writer receives
+  // an error, but the object exists at version 1.
   MemoryStore store;
   store.SetFaults({.outage = false, .lose_answer_rate = 1.0, .seed = 7});
   auto put = store.Put("k", "v", kAbsent);
@@ -34,12 +34,12 @@
 }
 
 TEST_CASE("a watch resumed after an outage misses no change") {
-  // An instance's settings watch breaks when the store goes down; changes
-  // made around the outage must all arrive once it re-arms from its
-  // last revision.
+  // A settings watch breaks when a store outage begins. All changes made before
+  // and after the outage must be delivered once the watch is started again from
+  // its last revision.
   MemoryStore store;
-  std::vector<std::string> seen;
-  int64_t last = 0;
+  std::vector<std::string> received;
+  int64_t last_revision = 0;
   bool broken = false;
   auto cb =
       [&](const turmeric::utils::Result<turmeric::store::StoredObject>& r) {
@@ -47,8 +47,8 @@
           broken = true;
           return;
         }
-        seen.push_back(r.value().value);
-        last = r.value().revision;
+        received.push_back(r.value().value);
+        last_revision = r.value().revision;
       };
   REQUIRE(store.Watch("config/", 0, cb));
   REQUIRE(store.Put("config/a", "1", kAbsent));
@@ -56,6 +56,6 @@
   CHECK(broken);
   store.SetFaults({});
   REQUIRE(store.Put("config/a", "2", 1));
-  REQUIRE(store.Watch("config/", last, cb));
-  CHECK(seen == std::vector<std::string>{"1", "2"});
+  REQUIRE(store.Watch("config/", last_revision, cb));
+  CHECK(received == std::vector<std::string>{"1", "2"});
 }
--- a/libs/store/test/position_test.cc
+++ b/libs/store/test/position_test.cc
@@ -3,8 +3,8 @@
 #include <catch2/catch.hpp>
 
 using turmeric::store::EraOf;
-using turmeric::store::kMostEra;
-using turmeric::store::kMostRevision;
+using turmeric::store::kMaxEra;
+using turmeric::store::kMaxRevision;
 using turmeric::store::MakePosition;
 using turmeric::store::RevisionOf;
 
@@ -12,13 +12,14 @@
   const auto position = MakePosition(7, 123456789);
   REQUIRE(EraOf(position) == 7);
   REQUIRE(RevisionOf(position) == 123456789);
-  REQUIRE(EraOf(MakePosition(kMostEra, kMostRevision)) == kMostEra);
-  REQUIRE(RevisionOf(MakePosition(kMostEra, kMostRevision)) == kMostRevision);
+  REQUIRE(EraOf(MakePosition(kMaxEra, kMaxRevision)) == kMaxEra);
+  REQUIRE(RevisionOf(MakePosition(kMaxEra, kMaxRevision)) == kMaxRevision);
 }
 
-// Guards against changes of a new era that look older than what they replace.
-TEST_CASE("every position of a later era is later") {
-  REQUIRE(MakePosition(2, 1) > MakePosition(1, kMostRevision));
+// Guards against changes of a new era that compare as older than the state that
+// they replace.
+TEST_CASE("every position of a later era compares greater") {
+  REQUIRE(MakePosition(2, 1) > MakePosition(1, kMaxRevision));
   REQUIRE(MakePosition(1, 2) > MakePosition(1, 1));
   REQUIRE(MakePosition(0, 5) == 5);
 }
--- a/libs/store/test/reflector_test.cc
+++ b/libs/store/test/reflector_test.cc
@@ -18,7 +18,7 @@
 
 namespace {
 
-/** A store whose calls the test answers one by one. */
+/** A store whose calls are answered by the test, one at a time. */
 class ScriptedSource : public ObjectSource {
  public:
   void List(const std::string&, Freshness, SourceCallback done) override {
@@ -34,9 +34,9 @@
   void Put(const std::string&, const std::string&, const QJsonObject&,
            SourceCallback) override {}
 
-  void Answer(SourceBatch batch) { Take()(std::move(batch)); }
+  void Answer(SourceBatch batch) { TakePending()(std::move(batch)); }
   void Fail(Errc code) {
-    Take()(boost::outcome_v2::failure(Error{code, "scripted"}));
+    TakePending()(boost::outcome_v2::failure(Error{code, "scripted"}));
   }
 
   int lists = 0;
@@ -45,57 +45,59 @@
   SourceCallback pending;
 
  private:
-  SourceCallback Take() { return std::exchange(pending, nullptr); }
+  SourceCallback TakePending() { return std::exchange(pending, nullptr); }
 };
 
-void RunLoop(std::chrono::milliseconds time) {
+void RunLoop(std::chrono::milliseconds duration) {
   QEventLoop loop;
-  QTimer::singleShot(time, &loop, &QEventLoop::quit);
+  QTimer::singleShot(duration, &loop, &QEventLoop::quit);
   loop.exec();
 }
 
-struct Seen {
+struct Received {
   int lists = 0;
   std::vector<std::string> changes;
-  std::vector<std::pair<int64_t, int64_t>> batches;  ///< Follows, revision.
+  /** `follows` and `revision` of each batch. */
+  std::vector<std::pair<int64_t, int64_t>> batches;
   std::vector<bool> reachable;
 };
 
-turmeric::store::ReflectorEvents Into(Seen& seen) {
-  return {
-      .on_list = [&](auto, auto) { ++seen.lists; },
-      .on_changes =
-          [&](const ChangeBatch& batch, auto) {
-            for (const SourceObject& o : batch.objects) {
-              seen.changes.push_back(o.name);
-            }
-            seen.batches.push_back({batch.follows, batch.revision});
-          },
-      .on_reachable =
-          [&](bool on, const std::string&) { seen.reachable.push_back(on); }};
+turmeric::store::ReflectorEvents RecordInto(Received& received) {
+  return {.on_list = [&](auto, auto) { ++received.lists; },
+          .on_changes =
+              [&](const ChangeBatch& batch, auto) {
+                for (const SourceObject& o : batch.objects) {
+                  received.changes.push_back(o.name);
+                }
+                received.batches.push_back({batch.follows, batch.revision});
+              },
+          .on_reachable =
+              [&](bool on, const std::string&) {
+                received.reachable.push_back(on);
+              }};
 }
 
 }  // namespace
 
 TEST_CASE("a reflector lists, then watches from the list's revision") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
-  REQUIRE(seen.lists == 1);
+  REQUIRE(received.lists == 1);
   REQUIRE(source.watched_after.back() == 7);
   source.Answer(
       {.objects = {{.name = "a", .spec = {}, .revision = 9}}, .revision = 9});
-  REQUIRE(seen.changes == std::vector<std::string>{"a"});
+  REQUIRE(received.changes == std::vector<std::string>{"a"});
   RunLoop(600ms);
   REQUIRE(source.watched_after.back() == 9);
 }
 
-TEST_CASE("a reflector lists anew when the history is gone") {
+TEST_CASE("a reflector lists again when the history is gone") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
   source.Fail(Errc::kStoreRevisionGone);
@@ -104,34 +106,34 @@
   REQUIRE(source.watched_after.back() == 30);
 }
 
-// Story: the store falls silent for some seconds. A watch that is sent just
-// before it returns is lost with the silence. If that watch were a long one,
-// a configuration accepted right after the return would come into force only
-// when it is given up, seconds late, and callers of new routes would get 404.
-TEST_CASE("while the store does not answer, watches are short") {
+// Guards against callers of new routes receiving 404. The store is unreachable
+// for some seconds, and a watch sent just before it recovers is lost. If that
+// were a long watch, a configuration accepted right after the recovery would
+// come into force only when the watch times out, seconds late.
+TEST_CASE("watches are short while the store is unreachable") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
-  const auto usual = source.waits.back();
+  const auto normal_wait = source.waits.back();
   source.Fail(Errc::kStoreUnavailable);
   RunLoop(300ms);
   REQUIRE(source.waits.size() == 2);
   REQUIRE(source.waits.back() <= 200ms);
-  REQUIRE(source.waits.back() < usual);
+  REQUIRE(source.waits.back() < normal_wait);
   source.Answer({.objects = {}, .revision = 7});
-  REQUIRE(source.waits.back() == usual);
-  REQUIRE(seen.reachable == std::vector<bool>{true, false, true});
+  REQUIRE(source.waits.back() == normal_wait);
+  REQUIRE(received.reachable == std::vector<bool>{true, false, true});
 }
 
-// Story: ninety instances follow some two hundred upstreams that are replaced
-// in a series. With a call for each change on each instance, the fleet made
-// four times the calls that it is billed for when quiet.
-TEST_CASE("changes in a series share a call") {
+// Guards against a high bill for store calls. 90 instances follow about 200
+// upstreams that are replaced one after the other. With one call per change and
+// instance, the fleet would make four times as many calls as when idle.
+TEST_CASE("a series of changes is received with one call") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
   source.Answer(
@@ -142,152 +144,155 @@
   REQUIRE(source.waits.size() == 2);
 }
 
-// Story: the store falls silent for a moment and swallows an instance's watch,
-// which was to wait for 15 s. A configuration is accepted right after. Without
-// what others tell, callers of its new routes get 404 here until the watch
-// ends.
-TEST_CASE("a watch that misses a change which others saw is begun anew") {
+// Guards against callers of new routes receiving 404. The store is unreachable
+// for a moment and loses an instance's watch, whose wait is 15 s. A
+// configuration is accepted right after. Without the changes reported by peers,
+// the instance would not receive it until the watch ends.
+TEST_CASE("a watch that misses a change received by peers is replaced") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   reflector.set_watch_wait([] { return 15s; });
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
   REQUIRE(source.waits == std::vector<std::chrono::milliseconds>{15s});
-  const SourceCallback lost = std::exchange(source.pending, nullptr);
-  reflector.NoteChangeElsewhere(7);  // Known here too.
+  const SourceCallback lost_watch = std::exchange(source.pending, nullptr);
+  reflector.OnPeerChange(7);  // Already received here.
   RunLoop(300ms);
   REQUIRE(source.waits.size() == 1);
-  reflector.NoteChangeElsewhere(8);
+  reflector.OnPeerChange(8);
   RunLoop(300ms);
   REQUIRE(source.waits.size() == 2);
   REQUIRE(source.watched_after.back() == 7);
   source.Answer(
       {.objects = {{.name = "a", .spec = {}, .revision = 8}}, .revision = 8});
-  REQUIRE(seen.batches.back() == std::pair<int64_t, int64_t>{7, 8});
-  REQUIRE(seen.changes.size() == 1);
-  // The lost one is answered after all: told twice, nothing may go back.
-  lost(SourceBatch{.objects = {{.name = "a", .spec = {}, .revision = 5}},
-                   .revision = 5});
-  REQUIRE(seen.changes.size() == 1);
+  REQUIRE(received.batches.back() == std::pair<int64_t, int64_t>{7, 8});
+  REQUIRE(received.changes.size() == 1);
+  // A late answer to the replaced watch must not revert anything.
+  lost_watch(SourceBatch{.objects = {{.name = "a", .spec = {}, .revision = 5}},
+                         .revision = 5});
+  REQUIRE(received.changes.size() == 1);
 }
 
-// Story: an instance tells of changes that do not exist. The others must not
-// call the store without end for it.
-TEST_CASE("watches begun anew for others' news are rare") {
+// Guards against calls to the store in a loop when an instance reports changes
+// that do not exist.
+TEST_CASE("replacing watches for changes of peers is rate-limited") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
   for (int i = 0; i < 12; ++i) {
-    reflector.NoteChangeElsewhere(1000);
+    reflector.OnPeerChange(1000);
     RunLoop(100ms);
   }
   REQUIRE(source.waits.size() <= 3);
 }
 
-// Story: a long watch was begun while other instances were heard; then nobody
-// is heard any more, and nobody would tell that the watch is lost.
-TEST_CASE("a long watch ends once it should have been a short one") {
+// Guards against a lost long watch that goes unnoticed. The watch was started
+// while messages of peers were received; when they no longer are, no peer would
+// report a change that the watch misses.
+TEST_CASE("a long watch is replaced once only short watches are allowed") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   std::chrono::milliseconds wait = 15s;
   reflector.set_watch_wait([&] { return wait; });
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
   RunLoop(700ms);
-  reflector.CheckWait();
+  reflector.CheckWatchOverdue();
   REQUIRE(source.waits.size() == 1);
   wait = 100ms;
-  reflector.CheckWait();
+  reflector.CheckWatchOverdue();
   REQUIRE(source.waits.size() == 2);
 }
 
-// Story: the store is away for six seconds, and each of sixty instances asks
-// twice in half a second whether it is back, once for each kind that it
-// follows: a quarter of the day's calls. One of the two finds out for both.
-TEST_CASE("a reflector waits for its lead while the store is away") {
-  ScriptedSource lead_source;
+// Guards against a high bill for store calls. During a store outage of 6 s,
+// each of 60 instances would probe the store twice every half second, once per
+// kind that it follows: a quarter of the calls of a day. One reflector probes
+// the store for both.
+TEST_CASE("a reflector waits for its probe leader during an outage") {
+  ScriptedSource leader_source;
   ScriptedSource source;
-  Seen seen;
-  Reflector lead(lead_source, "upstreams", Into(seen));
-  Reflector reflector(source, "config", Into(seen));
-  reflector.Follow(lead);
-  lead.Start();
+  Received received;
+  Reflector leader(leader_source, "upstreams", RecordInto(received));
+  Reflector reflector(source, "config", RecordInto(received));
+  reflector.set_probe_leader(leader);
+  leader.Start();
   reflector.Start();
-  lead_source.Answer({.objects = {}, .revision = 7});
+  leader_source.Answer({.objects = {}, .revision = 7});
   source.Answer({.objects = {}, .revision = 7});
-  lead_source.Fail(Errc::kStoreUnavailable);
+  leader_source.Fail(Errc::kStoreUnavailable);
   source.Fail(Errc::kStoreUnavailable);
   RunLoop(500ms);
   REQUIRE(source.waits.size() == 1);
-  REQUIRE(lead_source.waits.size() == 2);
-  lead_source.Answer({.objects = {}, .revision = 8});
+  REQUIRE(leader_source.waits.size() == 2);
+  leader_source.Answer({.objects = {}, .revision = 8});
   RunLoop(150ms);
   REQUIRE(source.waits.size() == 2);
 }
 
-// Story: only the lead's own call is lost, the store answers the other: one
-// that reaches the store must not wait for anybody.
-TEST_CASE("a reflector that reaches the store does not wait for its lead") {
-  ScriptedSource lead_source;
+// Guards against missed changes when only the probe leader's call is lost. A
+// reflector whose own calls are answered must not wait for its leader.
+TEST_CASE("a reflector that reaches the store does not wait for its leader") {
+  ScriptedSource leader_source;
   ScriptedSource source;
-  Seen seen;
-  Reflector lead(lead_source, "upstreams", Into(seen));
-  Reflector reflector(source, "config", Into(seen));
-  reflector.Follow(lead);
-  lead.Start();
+  Received received;
+  Reflector leader(leader_source, "upstreams", RecordInto(received));
+  Reflector reflector(source, "config", RecordInto(received));
+  reflector.set_probe_leader(leader);
+  leader.Start();
   reflector.Start();
-  lead_source.Answer({.objects = {}, .revision = 7});
+  leader_source.Answer({.objects = {}, .revision = 7});
   source.Answer({.objects = {}, .revision = 7});
-  lead_source.Fail(Errc::kStoreUnavailable);
+  leader_source.Fail(Errc::kStoreUnavailable);
   source.Answer(
       {.objects = {{.name = "a", .spec = {}, .revision = 8}}, .revision = 8});
   RunLoop(600ms);
   REQUIRE(source.waits.size() == 2);
 }
 
-// Story: three hundred instances each wait at the store for changes that
-// others pass on to them anyway, and each change costs three hundred calls.
-TEST_CASE("a resting reflector makes no calls and goes on from what is known") {
+// Guards against a high bill for store calls. If 300 instances watched the
+// store for changes that are relayed to them anyway, each change would cost 300
+// calls.
+TEST_CASE("a passive reflector makes no calls and resumes where it advanced") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
-  reflector.Rest(true);
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
+  reflector.SetPassive(true);
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
   REQUIRE(source.waits.empty());
   reflector.AdvanceTo(12);
   RunLoop(100ms);
   REQUIRE(source.waits.empty());
-  reflector.Rest(false);
+  reflector.SetPassive(false);
   REQUIRE(source.watched_after == std::vector<int64_t>{12});
 }
 
-TEST_CASE("a watch that is open when a reflector rests is its last") {
+TEST_CASE("a reflector that becomes passive starts no further watch") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
-  reflector.Rest(true);
+  reflector.SetPassive(true);
   reflector.AdvanceTo(9);
   source.Answer({.objects = {}, .revision = 8});
   RunLoop(100ms);
   REQUIRE(source.waits.size() == 1);
-  REQUIRE(seen.batches.back() == std::pair<int64_t, int64_t>{7, 8});
+  REQUIRE(received.batches.back() == std::pair<int64_t, int64_t>{7, 8});
 }
 
-// Story: a batch that was passed on did not join on what is known here. One
-// call brings what lies between; asked again and again, the store would be
-// called by the whole fleet for the same gap.
-TEST_CASE("a resting reflector catches up with one call") {
+// Guards against repeated calls of the whole fleet for the same gap. A relayed
+// batch leaves a gap after this instance's revision; one call must fetch the
+// missing changes.
+TEST_CASE("a passive reflector catches up with one call") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
-  reflector.Rest(true);
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
+  reflector.SetPassive(true);
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
   reflector.CatchUp();
@@ -296,31 +301,32 @@
   source.Answer({.objects = {}, .revision = 9});
   RunLoop(300ms);
   REQUIRE(source.waits.size() == 1);
-  REQUIRE(seen.batches.back() == std::pair<int64_t, int64_t>{7, 9});
+  REQUIRE(received.batches.back() == std::pair<int64_t, int64_t>{7, 9});
 }
 
-// Story: those that pass changes on have all lost the store without a word, and
-// an instance that serves another fleet tells of a newer change.
-TEST_CASE("a resting reflector asks for a change that others have seen") {
+// Guards against missed changes when all relays have lost the store without
+// noticing it, and an instance that serves another fleet reports a newer
+// change.
+TEST_CASE("a passive reflector requests a change that peers have received") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
-  reflector.Rest(true);
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
+  reflector.SetPassive(true);
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
-  reflector.NoteChangeElsewhere(8);
+  reflector.OnPeerChange(8);
   RunLoop(500ms);
   REQUIRE(source.waits.empty());
   RunLoop(700ms);
   REQUIRE(source.watched_after == std::vector<int64_t>{7});
 }
 
-// Guards against a loop of calls to a store whose every answer is that it has
-// no history.
-TEST_CASE("a history that is gone again and again is asked for more seldom") {
+// Guards against a loop of calls to a store that answers every call with
+// kStoreRevisionGone.
+TEST_CASE("calls become rarer while the history is repeatedly gone") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   reflector.Start();
   const auto answer_all = [&](std::chrono::milliseconds time) {
     const auto end = std::chrono::steady_clock::now() + time;
@@ -336,11 +342,11 @@
   REQUIRE(source.lists - first <= 2);
 }
 
-// Guards against a loop of watches that end at once and tell nothing.
-TEST_CASE("watches that end at once for nothing are begun more seldom") {
+// Guards against a loop of watches that end at once without changes.
+TEST_CASE("watches become rarer while they end at once without changes") {
   ScriptedSource source;
-  Seen seen;
-  Reflector reflector(source, "kind", Into(seen));
+  Received received;
+  Reflector reflector(source, "kind", RecordInto(received));
   reflector.Start();
   source.Answer({.objects = {}, .revision = 7});
   const auto end = std::chrono::steady_clock::now() + 2s;
