--- a/libs/membership/include/turmeric/membership/member.h
+++ b/libs/membership/include/turmeric/membership/member.h
@@ -6,39 +6,39 @@
 
 namespace turmeric::membership {
 
-/** Where an instance's membership messages go: IPv4 and UDP port. */
+/** UDP address at which an instance receives membership messages (IPv4). */
 struct Address {
   uint32_t ip = 0;  ///< Host byte order.
   uint16_t port = 0;
   auto operator<=>(const Address&) const = default;
 };
 
-/** What is believed of an instance; later ones override earlier ones of the
- * same incarnation. */
+/** State of an instance as seen by its peers. Within one incarnation, a later
+ * enumerator overrides an earlier one. */
 enum class MemberState : uint8_t {
   kAlive,
-  kSuspect,  ///< Did not answer a probe; may still object.
-  kLeaving,  ///< Says it is stopping.
-  kDead,     ///< Suspected too long, or gone after leaving.
+  kSuspect,  ///< Did not answer a probe; can refute the suspicion.
+  kLeaving,  ///< Has announced its planned stop.
+  kDead,     ///< The suspicion was not refuted in time.
 };
 
-/** One entry instance as others know it. */
+/** An entry instance as seen by its peers. */
 struct Member {
   std::string name;
   std::string zone;
   Address address;
-  uint64_t incarnation = 0;  ///< Raised by the instance itself, only.
+  uint64_t incarnation = 0;  ///< Raised only by the instance itself.
   MemberState state = MemberState::kAlive;
 };
 
 /**
- * @param update news of a member. @param held what is known of it.
- * @return true if the news is newer.
+ * @param update an update on a member. @param known its known state.
+ * @return true if the update is newer than the known state.
  */
-constexpr bool Supersedes(const Member& update, const Member& held) {
-  return update.incarnation != held.incarnation
-             ? update.incarnation > held.incarnation
-             : update.state > held.state;
+constexpr bool Supersedes(const Member& update, const Member& known) {
+  return update.incarnation != known.incarnation
+             ? update.incarnation > known.incarnation
+             : update.state > known.state;
 }
 
 }  // namespace turmeric::membership
--- a/libs/membership/src/details/codec.cc
+++ b/libs/membership/src/details/codec.cc
@@ -52,8 +52,8 @@
 }
 
 std::optional<Message> Decode(std::span<const uint8_t> bytes) {
-  // Guard: anyone can send a datagram to this port. The verifier checks
-  // every offset before it is followed.
+  // Guard: any process can send a datagram to this port. The verifier checks
+  // all offsets of the buffer before they are used.
   flatbuffers::Verifier verifier(bytes.data(), bytes.size());
   if (!wire::VerifyMessageBuffer(verifier)) return std::nullopt;
   const wire::Message& m = *wire::GetMessage(bytes.data());
--- a/libs/membership/src/details/codec.h
+++ b/libs/membership/src/details/codec.h
@@ -9,21 +9,22 @@
 
 namespace turmeric::membership::details {
 
-/** What a message is for. */
+/** Purpose of a message. */
 enum class MessageKind : uint8_t { kPing, kAck, kPingRequest };
 
 /** One message between instances. */
 struct Message {
   MessageKind kind = MessageKind::kPing;
-  uint64_t sequence = 0;
-  Member from;
-  std::optional<Member> target;
+  uint64_t sequence = 0;         ///< Of the probe that the message belongs to.
+  Member from;                   ///< The sender.
+  std::optional<Member> target;  ///< Of a ping request: the member to probe.
   std::vector<Member> updates;
 };
 
-/** @param message a message. @return its datagram (FlatBuffers). */
+/** @param message a message. @return the datagram that encodes it
+ * (FlatBuffers). */
 std::vector<uint8_t> Encode(const Message& message);
-/** @param bytes a datagram. @return the message, or nothing if malformed. */
+/** @param bytes a datagram. @return the message; nullopt if malformed. */
 std::optional<Message> Decode(std::span<const uint8_t> bytes);
 
 }  // namespace turmeric::membership::details
--- a/libs/membership/src/membership.cc
+++ b/libs/membership/src/membership.cc
@@ -26,20 +26,22 @@
 }
 
 int Membership::Retransmissions() const {
-  // News reaches all with high probability after a few times log2(n) sends.
+  // An update reaches all instances with high probability after a small
+  // multiple of log2(n) messages.
   constexpr int kPerDoubling = 3;
   return kPerDoubling * static_cast<int>(std::bit_width(members_.size() + 1));
 }
 
 std::chrono::milliseconds Membership::SuspectTimeout() const {
-  // Guard: the objection of a live suspect travels as fast as the suspicion;
-  // judged sooner than news crosses the fleet, it would be declared dead.
+  // Guard: the refutation of a live suspect spreads as fast as the suspicion. A
+  // timeout shorter than the time for an update to reach all instances would
+  // declare live instances dead.
   return std::max(options_.suspect_timeout,
                   options_.probe_period *
                       static_cast<int>(std::bit_width(members_.size() + 1)));
 }
 
-void Membership::Recount() {
+void Membership::UpdateLiveCount() {
   live_count_ =
       1 + static_cast<int>(std::ranges::count_if(
               members_, [](const auto& m) { return IsLive(m.second.member); }));
@@ -49,28 +51,29 @@
   roster_.clear();
   for (Member& m : roster) {
     if (m.name == self_.name) continue;
-    // Not news to anyone: the others read the same list. Learning the roster
-    // by gossip instead took a fleet of 256 more than a minute.
-    if (!members_.contains(m.name)) members_[m.name] = Held{m, now, 0};
+    // Not disseminated, because all instances read the same list. By gossip,
+    // the roster would take more than a minute to spread in a fleet of 256.
+    if (!members_.contains(m.name)) members_[m.name] = MemberEntry{m, now, 0};
     roster_.emplace(m.name, std::move(m));
   }
-  Recount();
+  UpdateLiveCount();
 }
 
-void Membership::SetState(Held& held, MemberState state,
+void Membership::SetState(MemberEntry& entry, MemberState state,
                           Clock::time_point now) {
-  held.member.state = state;
-  held.since = now;
-  held.sends_left = Retransmissions();
-  Recount();
+  entry.member.state = state;
+  entry.since = now;
+  entry.sends_left = Retransmissions();
+  UpdateLiveCount();
 }
 
 void Membership::Apply(const Member& update, Clock::time_point now) {
   if (update.name == self_.name) {
-    // Guard: a paused or cut-off instance hears that it is suspected or
-    // dead; and a restarted one that its earlier life, with a higher
-    // incarnation (its clock was ahead), still counts. Only the instance
-    // itself may raise its incarnation, and doing so overrides both.
+    // Guard: an instance that was paused or cut off receives the update that it
+    // is suspect or dead. A restarted instance can receive an update on its
+    // earlier process with a higher incarnation, if that process's clock was
+    // ahead. Only the instance itself may raise its incarnation, and a raised
+    // incarnation overrides both updates.
     if (update.incarnation > self_.incarnation ||
         (update.incarnation == self_.incarnation &&
          update.state > self_.state)) {
@@ -80,9 +83,9 @@
   }
   auto it = members_.find(update.name);
   if (it == members_.end()) {
-    // The dead are not worth learning of.
+    // An unknown member that is already dead does not need an entry.
     if (update.state == MemberState::kDead) return;
-    it = members_.emplace(update.name, Held{update, now, 0}).first;
+    it = members_.emplace(update.name, MemberEntry{update, now, 0}).first;
     SetState(it->second, update.state, now);
     return;
   }
@@ -91,39 +94,39 @@
   SetState(it->second, update.state, now);
 }
 
-std::vector<Member> Membership::TakeNews(const Member* first_news) {
-  std::vector<Member> news;
-  if (first_news != nullptr) news.push_back(*first_news);
-  std::vector<Held*> untold;
-  for (auto& [name, held] : members_) {
-    if (held.sends_left > 0) untold.push_back(&held);
+std::vector<Member> Membership::TakeUpdates(const Member* first_update) {
+  std::vector<Member> updates;
+  if (first_update != nullptr) updates.push_back(*first_update);
+  std::vector<MemberEntry*> pending;
+  for (auto& [name, entry] : members_) {
+    if (entry.sends_left > 0) pending.push_back(&entry);
   }
-  const size_t room =
-      std::min(untold.size(),
-               static_cast<size_t>(options_.updates_per_message) - news.size());
-  std::ranges::partial_sort(untold, untold.begin() + room, std::greater{},
-                            &Held::sends_left);
-  for (size_t i = 0; i < room; ++i) {
-    --untold[i]->sends_left;
-    news.push_back(untold[i]->member);
+  const size_t count = std::min(
+      pending.size(),
+      static_cast<size_t>(options_.updates_per_message) - updates.size());
+  std::ranges::partial_sort(pending, pending.begin() + count, std::greater{},
+                            &MemberEntry::sends_left);
+  for (size_t i = 0; i < count; ++i) {
+    --pending[i]->sends_left;
+    updates.push_back(pending[i]->member);
   }
-  return news;
+  return updates;
 }
 
 Datagram Membership::Compose(uint8_t kind, uint64_t sequence, Address to,
-                             const Member* target, const Member* first_news) {
+                             const Member* target, const Member* first_update) {
   Message message;
   message.kind = static_cast<MessageKind>(kind);
   message.sequence = sequence;
   message.from = self_;
   if (target != nullptr) message.target = *target;
-  message.updates = TakeNews(first_news);
+  message.updates = TakeUpdates(first_update);
   return {to, details::Encode(message)};
 }
 
 std::optional<std::string> Membership::NextTarget() {
-  // A shuffled round: every member is probed once a round, so that none
-  // waits much longer than the others.
+  // Members are probed in shuffled rounds, each member once per round, so that
+  // no member is probed much less often than the others.
   for (int pass = 0; pass < 2; ++pass) {
     while (!round_.empty()) {
       std::string name = std::move(round_.back());
@@ -131,8 +134,8 @@
       auto it = members_.find(name);
       if (it != members_.end() && IsLive(it->second.member)) return name;
     }
-    for (const auto& [name, held] : members_) {
-      if (IsLive(held.member)) round_.push_back(name);
+    for (const auto& [name, entry] : members_) {
+      if (IsLive(entry.member)) round_.push_back(name);
     }
     std::ranges::shuffle(round_, rng_);
   }
@@ -144,39 +147,41 @@
   if (!target) return;
   probe_ = Probe{*target, ++sequence_, now, false};
   const Member& m = members_.find(*target)->second.member;
-  // A suspect is told first of all that it is suspected, so that it can
-  // object.
-  const Member* news = m.state == MemberState::kSuspect ? &m : nullptr;
+  // A ping to a suspect carries the suspicion as its first update, so that the
+  // suspect can refute it.
+  const Member* suspicion = m.state == MemberState::kSuspect ? &m : nullptr;
   out.push_back(Compose(static_cast<uint8_t>(MessageKind::kPing), sequence_,
-                        m.address, nullptr, news));
+                        m.address, nullptr, suspicion));
 }
 
-void Membership::AskOthers(std::vector<Datagram>& out) {
-  probe_->asked_others = true;
+void Membership::RequestIndirectProbes(std::vector<Datagram>& out) {
+  probe_->indirect_requested = true;
   const Member target = members_.find(probe_->target)->second.member;
-  std::vector<const Member*> helpers;
-  for (const auto& [name, held] : members_) {
-    if (held.member.state == MemberState::kAlive && name != target.name) {
-      helpers.push_back(&held.member);
+  std::vector<const Member*> candidates;
+  for (const auto& [name, entry] : members_) {
+    if (entry.member.state == MemberState::kAlive && name != target.name) {
+      candidates.push_back(&entry.member);
     }
   }
   std::vector<const Member*> chosen;
-  std::ranges::sample(helpers, std::back_inserter(chosen),
+  std::ranges::sample(candidates, std::back_inserter(chosen),
                       options_.indirect_probes, rng_);
-  for (const Member* helper : chosen) {
+  for (const Member* peer : chosen) {
     out.push_back(Compose(static_cast<uint8_t>(MessageKind::kPingRequest),
-                          probe_->sequence, helper->address, &target, nullptr));
+                          probe_->sequence, peer->address, &target, nullptr));
   }
 }
 
-void Membership::EndProbe(Clock::time_point now, std::vector<Datagram>& out) {
+void Membership::AdvanceProbe(Clock::time_point now,
+                              std::vector<Datagram>& out) {
   auto it = members_.find(probe_->target);
   if (it == members_.end() || !IsLive(it->second.member)) {
     probe_.reset();
     return;
   }
-  if (!probe_->asked_others && now - probe_->sent >= options_.ack_timeout) {
-    AskOthers(out);
+  if (!probe_->indirect_requested &&
+      now - probe_->sent >= options_.ack_timeout) {
+    RequestIndirectProbes(out);
   }
   if (now - probe_->sent >= options_.probe_period) {
     if (it->second.member.state == MemberState::kAlive) {
@@ -189,50 +194,52 @@
   }
 }
 
-void Membership::TryContact(Clock::time_point now, std::vector<Datagram>& out) {
-  // Guard: two halves of the fleet that were cut from each other hold each
-  // other dead and would never speak again. The roster names both sides.
-  const bool alone = live_count_ == 1;
-  next_contact_ =
-      now + (alone ? options_.probe_period : options_.contact_period);
-  std::vector<const Member*> lost;
+void Membership::PingDeadMember(Clock::time_point now,
+                                std::vector<Datagram>& out) {
+  // Guard: after a network partition the members of the two sides count each
+  // other as dead and would never probe each other again. The roster contains
+  // both sides.
+  const bool isolated = live_count_ == 1;
+  next_reconnect_ =
+      now + (isolated ? options_.probe_period : options_.reconnect_period);
+  std::vector<const Member*> dead;
   for (const auto& [name, listed] : roster_) {
-    const Held& held = members_.find(name)->second;
-    if (!IsLive(held.member)) lost.push_back(&held.member);
+    const MemberEntry& entry = members_.find(name)->second;
+    if (!IsLive(entry.member)) dead.push_back(&entry.member);
   }
-  if (lost.empty()) return;
-  // If it is alive after all, it learns that it is held dead, and objects.
-  const Member& member = *lost[rng_() % lost.size()];
+  if (dead.empty()) return;
+  // A member that is alive receives its own state as dead and refutes it.
+  const Member& member = *dead[rng_() % dead.size()];
   out.push_back(Compose(static_cast<uint8_t>(MessageKind::kPing), ++sequence_,
                         roster_.find(member.name)->second.address, nullptr,
                         &member));
 }
 
-void Membership::AgeMembers(Clock::time_point now) {
-  for (auto& [name, held] : members_) {
-    if (held.member.state == MemberState::kSuspect &&
-        now - held.since >= SuspectTimeout()) {
-      SetState(held, MemberState::kDead, now);
+void Membership::ExpireMembers(Clock::time_point now) {
+  for (auto& [name, entry] : members_) {
+    if (entry.member.state == MemberState::kSuspect &&
+        now - entry.since >= SuspectTimeout()) {
+      SetState(entry, MemberState::kDead, now);
     }
   }
   std::erase_if(members_, [&](const auto& m) {
     return !IsLive(m.second.member) && !roster_.contains(m.first) &&
-           now - m.second.since >= options_.forget_dead;
+           now - m.second.since >= options_.dead_retention;
   });
-  std::erase_if(relays_, [&](const auto& r) {
+  std::erase_if(indirect_probes_, [&](const auto& r) {
     return now - r.second.sent >= options_.probe_period;
   });
 }
 
 std::vector<Datagram> Membership::Tick(Clock::time_point now) {
   std::vector<Datagram> out;
-  AgeMembers(now);
-  if (probe_) EndProbe(now, out);
+  ExpireMembers(now);
+  if (probe_) AdvanceProbe(now, out);
   if (now >= next_probe_) {
     next_probe_ = now + options_.probe_period;
     if (!probe_) StartProbe(now, out);
   }
-  if (now >= next_contact_) TryContact(now, out);
+  if (now >= next_reconnect_) PingDeadMember(now, out);
   return out;
 }
 
@@ -250,19 +257,21 @@
   const Address sender = message->from.address;
   switch (message->kind) {
     case MessageKind::kPing: {
-      // What is known of the sender beyond what it says of itself, so that
-      // it can object or, restarted with a lower incarnation, catch up.
+      // If this instance has a newer state of the sender than the message, the
+      // acknowledgement carries it, so that the sender can refute it or, after
+      // a restart with a lower incarnation, raise its incarnation.
       auto it = members_.find(message->from.name);
-      const bool knows_better =
+      const bool has_newer =
           it != members_.end() && Supersedes(it->second.member, message->from);
       out.push_back(Compose(static_cast<uint8_t>(MessageKind::kAck),
                             message->sequence, sender, nullptr,
-                            knows_better ? &it->second.member : nullptr));
+                            has_newer ? &it->second.member : nullptr));
       break;
     }
     case MessageKind::kPingRequest:
       if (message->target) {
-        relays_[++sequence_] = Relay{sender, message->sequence, now};
+        indirect_probes_[++sequence_] =
+            IndirectProbe{sender, message->sequence, now};
         out.push_back(Compose(static_cast<uint8_t>(MessageKind::kPing),
                               sequence_, message->target->address, nullptr,
                               nullptr));
@@ -270,12 +279,13 @@
       break;
     case MessageKind::kAck:
       if (probe_ && probe_->sequence == message->sequence) probe_.reset();
-      if (auto relay = relays_.find(message->sequence);
-          relay != relays_.end()) {
+      if (auto request = indirect_probes_.find(message->sequence);
+          request != indirect_probes_.end()) {
         out.push_back(Compose(static_cast<uint8_t>(MessageKind::kAck),
-                              relay->second.asker_sequence, relay->second.asker,
-                              nullptr, &message->from));
-        relays_.erase(relay);
+                              request->second.requester_sequence,
+                              request->second.requester, nullptr,
+                              &message->from));
+        indirect_probes_.erase(request);
       }
       break;
   }
@@ -285,20 +295,22 @@
 std::vector<Datagram> Membership::Leave() {
   self_.state = MemberState::kLeaving;
   std::vector<Member> live = LiveMembers();
-  std::vector<Member> told;
-  std::ranges::sample(live, std::back_inserter(told), Retransmissions(), rng_);
+  std::vector<Member> targets;
+  std::ranges::sample(live, std::back_inserter(targets), Retransmissions(),
+                      rng_);
   std::vector<Datagram> out;
-  std::ranges::transform(told, std::back_inserter(out), [&](const Member& m) {
-    return Compose(static_cast<uint8_t>(MessageKind::kPing), ++sequence_,
-                   m.address, nullptr, nullptr);
-  });
+  std::ranges::transform(
+      targets, std::back_inserter(out), [&](const Member& m) {
+        return Compose(static_cast<uint8_t>(MessageKind::kPing), ++sequence_,
+                       m.address, nullptr, nullptr);
+      });
   return out;
 }
 
 std::vector<Member> Membership::LiveMembers() const {
   std::vector<Member> live;
-  for (const auto& [name, held] : members_) {
-    if (IsLive(held.member)) live.push_back(held.member);
+  for (const auto& [name, entry] : members_) {
+    if (IsLive(entry.member)) live.push_back(entry.member);
   }
   return live;
 }
--- a/libs/membership/test/fake_network.h
+++ b/libs/membership/test/fake_network.h
@@ -11,21 +11,22 @@
 
 namespace turmeric::membership::testing {
 
-/** A few instances' Memberships joined by a lossy network in virtual time. */
+/** Memberships of several instances, connected by a lossy network in virtual
+ * time. */
 class FakeNetwork {
  public:
   using Clock = Membership::Clock;
 
   explicit FakeNetwork(uint64_t seed) : rng_(seed) {}
 
-  /** Starts (or restarts) instance `i`, with a roster of `listed` from the
-   * store. */
-  void Start(int i, uint64_t incarnation, int listed) {
-    Member self = Named(i);
+  /** Starts or restarts instance `i`. Its roster consists of the instances 0 to
+   * `roster_size` - 1. */
+  void Start(int i, uint64_t incarnation, int roster_size) {
+    Member self = MakeMember(i);
     self.incarnation = incarnation;
     auto node = std::make_unique<Membership>(self, options, rng_());
     std::vector<Member> list;
-    for (int c = 0; c < listed; ++c) list.push_back(Named(c));
+    for (int c = 0; c < roster_size; ++c) list.push_back(MakeMember(c));
     node->SetRoster(list, now);
     nodes[i] = std::move(node);
   }
@@ -38,28 +39,30 @@
       }
     }
   }
-  /** Sends from `from` and whatever that causes, depth first. */
+  /** Delivers datagrams of instance `from` and all datagrams sent in response,
+   * depth first. */
   void Deliver(int from, const std::vector<Datagram>& datagrams) {
     for (const Datagram& d : datagrams) {
       const int to = d.to.port;
       bytes += static_cast<int64_t>(d.bytes.size());
       ++messages;
       auto it = nodes.find(to);
-      if (it == nodes.end() || paused[to] || (cut && cut(from, to)) ||
+      if (it == nodes.end() || paused[to] ||
+          (partition && partition(from, to)) ||
           std::uniform_real_distribution<>(0, 1)(rng_) < loss) {
         continue;
       }
       Deliver(to, it->second->OnDatagram(d.bytes, now));
     }
   }
-  static Member Named(int i) {
+  static Member MakeMember(int i) {
     return {"entry-" + std::to_string(i),
             "zone-" + std::to_string(i % 8),
             {0x7f000001, static_cast<uint16_t>(i)},
             0,
             MemberState::kAlive};
   }
-  /** @return how many instances hold exactly `n` instances live. */
+  /** @return the number of instances that count exactly `n` live instances. */
   int Agreeing(int n) const {
     int agreeing = 0;
     for (const auto& [i, node] : nodes) agreeing += node->live_count() == n;
@@ -69,8 +72,8 @@
   MembershipOptions options;
   std::map<int, std::unique_ptr<Membership>> nodes;
   std::map<int, bool> paused;
-  std::function<bool(int, int)> cut;
-  double loss = 0;
+  std::function<bool(int, int)> partition;  ///< (from, to): true drops.
+  double loss = 0;  ///< Share of datagrams that are lost.
   Clock::time_point now = Clock::time_point() + std::chrono::hours(1);
   int64_t bytes = 0;
   int64_t messages = 0;
--- a/libs/membership/test/membership_test.cc
+++ b/libs/membership/test/membership_test.cc
@@ -12,7 +12,7 @@
 
 namespace {
 
-/** A settled fleet of `n`. */
+/** @return a fleet of `n` instances after 30 s of virtual time. */
 FakeNetwork Fleet(int n, uint64_t seed = 1) {
   FakeNetwork net(seed);
   for (int i = 0; i < n; ++i) net.Start(i, 100, n);
@@ -22,14 +22,14 @@
 
 }  // namespace
 
-TEST_CASE("a fleet finds itself from the store's list") {
+TEST_CASE("a fleet agrees on its members from the store's list") {
   FakeNetwork net = Fleet(8);
   CHECK(net.Agreeing(8) == 8);
 }
 
-TEST_CASE("a killed instance is known dead everywhere within seconds") {
-  // An instance is killed. While others count it, each organisation's share
-  // of its limit per instance is too small.
+TEST_CASE("all instances count a killed instance as dead within seconds") {
+  // While other instances count a killed one as live, the share of each
+  // organisation's limit that an instance admits is too small.
   FakeNetwork net = Fleet(8);
   net.nodes.erase(3);
   net.Run(15000);
@@ -37,8 +37,9 @@
 }
 
 TEST_CASE("a lossy network does not make live instances dead") {
-  // A fifth of all datagrams is lost. Single lost probes must not count
-  // instances out: others are asked, and a suspect may object.
+  // A fifth of all datagrams is lost. Single lost probes must not make
+  // instances dead: indirect probes are requested, and a suspect can refute
+  // the suspicion.
   FakeNetwork net = Fleet(8);
   net.loss = 0.2;
   int worst = 8;
@@ -49,9 +50,10 @@
   CHECK(worst == 8);
 }
 
-TEST_CASE("a paused instance comes back as itself") {
-  // An instance freezes for 20 s; the others bury it. When it wakes it hears
-  // so, raises its incarnation, and is counted again.
+TEST_CASE("a paused instance is counted again after it resumes") {
+  // An instance is paused for 20 s, and its peers declare it dead. After it
+  // resumes it receives this state, raises its incarnation and is counted
+  // again.
   FakeNetwork net = Fleet(6);
   net.paused[2] = true;
   net.Run(20000);
@@ -62,8 +64,9 @@
 }
 
 TEST_CASE("a restarted instance is counted even if its clock went back") {
-  // Instances take the time as first incarnation. The new one's clock is
-  // behind the old one's, so its news looks old to everybody.
+  // Instances use the current time as their first incarnation. The new
+  // process's clock is behind the old one's, so its updates look old to all
+  // peers until it raises its incarnation.
   FakeNetwork net = Fleet(6);
   net.nodes.erase(4);
   net.Run(15000);
@@ -72,20 +75,20 @@
   CHECK(net.Agreeing(6) == 6);
 }
 
-TEST_CASE("the halves of a partition find each other again") {
-  // Two regions lose each other for minutes: each half forgets the other.
-  // After the cut nobody in one half knows an address in the other, except
-  // from the store's list.
+TEST_CASE("the sides of a partition reconnect after it ends") {
+  // Two regions are partitioned for minutes, and each side declares the other
+  // dead. After the partition an instance reaches the other side only through
+  // the addresses in the store's list.
   FakeNetwork net = Fleet(8);
-  net.cut = [](int a, int b) { return (a < 4) != (b < 4); };
+  net.partition = [](int a, int b) { return (a < 4) != (b < 4); };
   net.Run(180000);
   CHECK(net.Agreeing(4) == 8);
-  net.cut = nullptr;
+  net.partition = nullptr;
   net.Run(60000);
   CHECK(net.Agreeing(8) == 8);
 }
 
-TEST_CASE("an instance that leaves is counted out at once") {
+TEST_CASE("a leaving instance is excluded from the count immediately") {
   FakeNetwork net = Fleet(8);
   net.Deliver(5, net.nodes[5]->Leave());
   net.nodes.erase(5);
@@ -93,65 +96,71 @@
   CHECK(net.Agreeing(7) == 7);
 }
 
-TEST_CASE("after any faults the fleet agrees on who is there") {
-  // Random kills, restarts (with clocks ahead or behind), pauses, cuts and
-  // losses; once they end, everyone must count exactly the instances there.
+TEST_CASE("the fleet agrees on its members after any faults") {
+  // Random kills, restarts (with clocks ahead or behind), pauses, partitions
+  // and datagram losses. Once they end, every instance must count exactly the
+  // running instances.
   rc::prop("converges", [](std::vector<uint8_t> script, uint8_t seed) {
     constexpr int kSize = 6;
     FakeNetwork net(seed + 1u);
     for (int i = 0; i < kSize; ++i) net.Start(i, 100, kSize);
     if (script.size() > 30) script.resize(30);
     for (const uint8_t step : script) {
-      const int who = step % kSize;
+      const int instance = step % kSize;
       switch ((step >> 3) % 6) {
         case 0:
-          net.nodes.erase(who);
+          net.nodes.erase(instance);
           break;
         case 1:
-          net.Start(who, 60u + step, kSize);
+          net.Start(instance, 60u + step, kSize);
           break;
         case 2:
-          net.paused[who] = !net.paused[who];
+          net.paused[instance] = !net.paused[instance];
           break;
         case 3:
           net.loss = (step >> 6) * 0.15;
           break;
         case 4:
-          net.cut = [who](int a, int b) { return (a < who) != (b < who); };
+          net.partition = [instance](int a, int b) {
+            return (a < instance) != (b < instance);
+          };
           break;
         case 5:
-          net.cut = nullptr;
+          net.partition = nullptr;
           break;
       }
       net.Run(2500);
     }
     net.paused.clear();
-    net.cut = nullptr;
+    net.partition = nullptr;
     net.loss = 0;
     if (net.nodes.empty()) return;
     net.Run(150000);
-    const int there = static_cast<int>(net.nodes.size());
-    RC_ASSERT(net.Agreeing(there) == there);
+    const int running = static_cast<int>(net.nodes.size());
+    RC_ASSERT(net.Agreeing(running) == running);
   });
 }
 
-TEST_CASE("no datagram can upset an instance") {
-  // The port takes datagrams from anyone: noise, cut and altered messages.
-  rc::prop("garbage is dropped or harmless", [](std::vector<uint8_t> noise,
-                                                uint16_t at, uint8_t value) {
-    Membership node(FakeNetwork::Named(1), {}, 1);
-    const auto now = Membership::Clock::time_point() + std::chrono::hours(1);
-    (void)node.OnDatagram(noise, now);
-    details::Message m;
-    m.from = FakeNetwork::Named(2);
-    m.updates = {FakeNetwork::Named(3), FakeNetwork::Named(1)};
-    auto bytes = details::Encode(m);
-    bytes[at % bytes.size()] = value;
-    (void)node.OnDatagram(bytes, now);
-    bytes.resize(at % bytes.size());
-    (void)node.OnDatagram(bytes, now);
-    RC_ASSERT(node.live_count() <= 4);
-  });
+TEST_CASE("invalid datagrams do not corrupt the membership") {
+  // Any process can send datagrams to the port: random bytes, truncated and
+  // altered messages.
+  rc::prop(
+      "invalid datagrams are dropped or harmless",
+      [](std::vector<uint8_t> noise, uint16_t at, uint8_t value) {
+        Membership node(FakeNetwork::MakeMember(1), {}, 1);
+        const auto now =
+            Membership::Clock::time_point() + std::chrono::hours(1);
+        (void)node.OnDatagram(noise, now);
+        details::Message m;
+        m.from = FakeNetwork::MakeMember(2);
+        m.updates = {FakeNetwork::MakeMember(3), FakeNetwork::MakeMember(1)};
+        auto bytes = details::Encode(m);
+        bytes[at % bytes.size()] = value;
+        (void)node.OnDatagram(bytes, now);
+        bytes.resize(at % bytes.size());
+        (void)node.OnDatagram(bytes, now);
+        RC_ASSERT(node.live_count() <= 4);
+      });
 }
 
 }  // namespace turmeric::membership
