--- a/libs/entry/include/turmeric/entry/topology_feed.h
+++ b/libs/entry/include/turmeric/entry/topology_feed.h
@@ -10,7 +10,7 @@
 #include <span>
 #include <string>
 
-#include "turmeric/entry/store_news.h"
+#include "turmeric/entry/revision_gossip.h"
 #include "turmeric/peer/frame.h"
 #include "turmeric/routing/evacuated_zones.h"
 #include "turmeric/routing/upstream.h"
--- a/libs/entry/src/piece_host.cc
+++ b/libs/entry/src/piece_host.cc
@@ -5,8 +5,8 @@
 #include <vector>
 
 #include "turmeric/entry/placement_desk.h"
+#include "turmeric/entry/revision_gossip.h"
 #include "turmeric/entry/stage_dispatcher.h"
-#include "turmeric/entry/store_news.h"
 #include "turmeric/utils/decision_log.h"
 
 namespace turmeric::entry {
--- a/libs/entry/test/store_news_test.cc
+++ b/libs/entry/test/revision_gossip_test.cc
@@ -1,4 +1,4 @@
-#include "turmeric/entry/store_news.h"
+#include "turmeric/entry/revision_gossip.h"
 
 #include <catch2/catch.hpp>
 #include <vector>
