--- a/libs/entry/include/turmeric/entry/config_check.h
+++ b/libs/entry/include/turmeric/entry/config_check.h
@@ -10,44 +10,57 @@
 namespace turmeric::entry {
 
 /**
- * Finds out whether the configuration in force here is the store's latest,
- * before a caller gets a refusal that is final by it. Changes reach an instance
- * by paths that can be cut without a sign; until that is noticed, it would
- * refuse for good what a newer configuration allows.
+ * Verifies that the configuration in force here is the store's latest before a
+ * caller receives a permanent refusal that is based on it. The paths by which
+ * changes reach an instance can be interrupted unnoticed; until the
+ * interruption is detected, the instance would permanently refuse requests that
+ * a newer configuration allows.
  */
 class ConfigCheck : public QObject {
  public:
   using Clock = std::chrono::steady_clock;
-  /** @param is_latest true: all that the store has accepted is in force here.
-   * False: it is not known. */
-  using Answer = std::function<void(bool is_latest)>;
-  /** Makes one call to the store, and puts what it brings into force. */
-  using AskStore = std::function<void(Answer)>;
+  /**
+   * @param is_latest true: the latest configuration that the store has accepted
+   *     is in force here. False: that could not be confirmed.
+   */
+  using Callback = std::function<void(bool is_latest)>;
+  /**
+   * Makes one call to the store, and puts the configuration that it returns
+   * into force.
+   */
+  using QueryStore = std::function<void(Callback)>;
 
-  /** @return up to when all configurations that the store has accepted are
-   * known here without asking. */
-  using KnownTo = std::function<Clock::time_point()>;
+  /**
+   * @return the time up to which all configurations accepted by the store are
+   *     known here without a call.
+   */
+  using CurrentAt = std::function<Clock::time_point()>;
 
-  /** @param bound a configuration must be in force by then. @param known_to see
-   * KnownTo. @param ask_store see AskStore; both must outlive this. */
-  ConfigCheck(std::chrono::milliseconds bound, KnownTo known_to,
-              AskStore ask_store);
+  /**
+   * @param bound time after its acceptance by which a configuration must be in
+   *     force.
+   * @param current_at see CurrentAt; what it refers to must outlive this
+   *     object.
+   * @param query_store see QueryStore; as above.
+   */
+  ConfigCheck(std::chrono::milliseconds bound, CurrentAt current_at,
+              QueryStore query_store);
 
-  /** @param answer called at once, or within a fraction of a second. */
-  void Ask(Answer answer);
+  /** @param callback called at once, or within a fraction of a second. */
+  void Confirm(Callback callback);
 
  private:
-  void OnAnswer(Clock::time_point asked_at, bool is_latest);
-  void AnswerAll(bool is_latest);
+  void OnAnswer(Clock::time_point queried_at, bool is_latest);
+  void FinishAll(bool is_latest);
 
   std::chrono::milliseconds bound_;
-  KnownTo known_to_;
-  AskStore ask_store_;
-  std::vector<Answer> waiting_;
-  bool asking_ = false;
-  Clock::time_point answered_to_;  ///< As KnownTo, by what was asked.
+  CurrentAt current_at_;
+  QueryStore query_store_;
+  std::vector<Callback> pending_;
+  bool query_open_ = false;
+  Clock::time_point confirmed_at_;  ///< As CurrentAt, by calls of this object.
   std::optional<Clock::time_point> failed_at_;
-  QTimer give_up_;
+  QTimer timeout_;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/drain_policy.h
+++ b/libs/entry/include/turmeric/entry/drain_policy.h
@@ -4,31 +4,35 @@
 
 namespace turmeric::entry {
 
-/** The moments of a planned stop. */
+/** Deadlines of a planned stop. */
 struct StopSchedule {
-  /** By then each request has its final answer or a stream that flows. */
+  /**
+   * By then each request must have its final answer or a stream that delivers
+   * events.
+   */
   std::chrono::steady_clock::time_point last_answers;
-  /** The process ends, whatever is open. */
+  /** The process exits, even with open requests. */
   std::chrono::steady_clock::time_point exit;
 };
 
 /**
- * @param began when the stop began. @param grace time from then to the kill.
- * @return its schedule.
+ * @param began when the stop began.
+ * @param grace time from then to the kill.
+ * @return the schedule of the stop.
  */
 StopSchedule ScheduleStop(std::chrono::steady_clock::time_point began,
                           std::chrono::milliseconds grace);
 
 /**
- * Whether an instance that is stopping takes a request that arrives now. A
- * stream that begins late in the stop would be cut off by its end; refused at
- * once, the caller gets it whole from another instance.
- * @param is_long true for streams and requests with stages, which last for
- *     seconds. @param since_stop time since the stop began.
- * @param grace time from then to the kill.
- * @return true if the request can be expected to end before the process.
+ * Decides whether an instance that is stopping accepts a new request. A stream
+ * that begins late in the stop would be cut off by the exit of the process; if
+ * it is refused at once, the caller receives it whole from another instance.
+ * @param is_long true for streams and requests with stages, which take seconds.
+ * @param since_stop time since the stop began.
+ * @param grace time from the begin of the stop to the kill.
+ * @return true if the request is expected to end before the process exits.
  */
-bool TakesWhileStopping(bool is_long, std::chrono::milliseconds since_stop,
-                        std::chrono::milliseconds grace);
+bool AcceptsWhileStopping(bool is_long, std::chrono::milliseconds since_stop,
+                          std::chrono::milliseconds grace);
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/entry_context.h
+++ b/libs/entry/include/turmeric/entry/entry_context.h
@@ -25,7 +25,7 @@
 class EntryMetrics;
 class WorkQuarantine;
 
-/** What one instance knows and shares among its requests. */
+/** State of one instance that is shared by its requests. */
 struct EntryContext {
   EntryContext(config::EntrySettings s, WireFormat w)
       : settings(std::move(s)),
@@ -38,49 +38,56 @@
     if (!Uses(config::Mechanism::kRepeats)) retries.set_limits({});
   }
 
-  /** @param service its name. @return its settings, or nullptr. */
+  /**
+   * @param service name of a service.
+   * @return its settings, or nullptr.
+   */
   const routing::ServiceSpec* FindService(const std::string& service) const {
     return table ? table->FindService(service) : nullptr;
   }
 
-  /** @param mechanism one of them. @return true if it is in use. */
+  /**
+   * @param mechanism a mechanism that settings can disable.
+   * @return true if it is enabled.
+   */
   bool Uses(config::Mechanism mechanism) const {
     return settings.mechanisms.Uses(mechanism);
   }
 
   /**
-   * Keeps how an exchange with an upstream went, for later choices.
-   * @param upstream where it was. @param outcome how it ended.
-   * @param ms time to the answer's first byte.
+   * Records the outcome of an exchange with an upstream, for later choices.
+   * @param upstream the upstream.
+   * @param outcome how the exchange ended.
+   * @param ms time to the first byte of the answer.
    */
-  void Note(routing::Upstream& upstream, routing::Outcome outcome,
-            double ms) const {
+  void RecordOutcome(routing::Upstream& upstream, routing::Outcome outcome,
+                     double ms) const {
     NoteOutcome(upstream, outcome, ms, routing::Clock::now());
     if (!Uses(config::Mechanism::kEjection)) upstream.ejected_till = {};
   }
 
   config::EntrySettings settings;
   WireFormat wire;
-  routing::RouteTablePtr table;  ///< Null until the first is read.
+  routing::RouteTablePtr table;  ///< Null until the first table was read.
   routing::UpstreamTable upstreams;
-  bool upstreams_known = false;  ///< Their list was read at least once.
-  bool store_away = false;       ///< Calls to the store fail.
+  bool upstreams_known = false;    ///< Set once their list was read.
+  bool store_unreachable = false;  ///< Calls to the store fail.
   UpstreamClient client;
   RetryBudgets retries;
   ColdGuard cold;
   stages::StageTimes stage_times;
   stages::EngineTimes engine_times;
   UsualDeadlines usual_deadlines;
-  StoreNews news;         ///< Between instances.
-  BacklogBoard backlogs;  ///< Of stage services that others own.
-  /** When a planned stop began; none: it has not. */
+  RevisionGossip revision_gossip;  ///< With the other instances.
+  BacklogBoard backlogs;  ///< Of stage services that other instances own.
+  /** When a planned stop began; nullopt: none has. */
   std::optional<routing::Clock::time_point> stopping_since;
-  /** @return the schedule of a planned stop; none: none has begun. */
+  /** @return the schedule of the planned stop; nullopt: none has begun. */
   std::optional<StopSchedule> stop() const {
     if (!stopping_since) return std::nullopt;
     return ScheduleStop(*stopping_since, settings.stop_grace);
   }
-  /** What engines hold of the prompts that this instance placed. */
+  /** Parts of the prompts placed by this instance that engines still hold. */
   routing::PromptMemory prompt_memory;
   ConfigCheck* config_check = nullptr;
   StageClient* stages = nullptr;
--- a/libs/entry/include/turmeric/entry/entry_metrics.h
+++ b/libs/entry/include/turmeric/entry/entry_metrics.h
@@ -19,37 +19,55 @@
  public:
   EntryMetrics();
   /**
-   * One request has its final answer.
-   * @param route the route's name, empty if none matched.
-   * @param status the status the caller got, 0 if it had gone.
-   * @param outcome why, a short fixed word. @param seconds since arrival.
+   * Records the final answer to a request.
+   * @param route name of the route, empty if none matched.
+   * @param status status sent to the caller, 0 if the caller had disconnected.
+   * @param outcome reason, a fixed word.
+   * @param seconds time since the arrival of the request.
    */
   void OnRequest(std::string_view route, int status, std::string_view outcome,
                  double seconds);
-  /** One send to an upstream beyond a request's first. */
-  void OnRepeat(std::string_view service);
-  /** A repeat was not sent, as the retry budget was spent. @param service where
-   * to. */
-  void OnRepeatRefused(std::string_view service);
-  /** One call to the platform's store. @param kind of objects. @param call
-   * list, stale_list, watch or put. @param outcome a short fixed word. */
+  /**
+   * Records a send to an upstream beyond a request's first.
+   * @param service service of the upstream.
+   */
+  void OnRetry(std::string_view service);
+  /**
+   * Records a retry that was not sent because the retry budget was exhausted.
+   * @param service service of the retry.
+   */
+  void OnRetryRefused(std::string_view service);
+  /**
+   * Records a call to the platform's store.
+   * @param kind kind of objects.
+   * @param call list, stale_list, watch or put.
+   * @param outcome a fixed word.
+   */
   void OnStoreCall(std::string_view kind, std::string_view call,
                    std::string_view outcome);
-  /** @param followers instances that changes are passed on to.
-   * @param store_age since the store was last heard by any path. */
+  /**
+   * @param followers number of instances that this one passes changes on to.
+   * @param store_age time since the store's last answer on any path.
+   */
   void SetStorePaths(int followers, std::chrono::milliseconds store_age);
-  /** @param works requests whose copies are refused, as they end upstreams. */
-  void SetQuarantined(size_t works);
-  /** @param upstreams that get nothing new since their zone is evacuated. */
+  /**
+   * @param requests number of requests whose copies are refused because
+   *     upstreams crash while running them.
+   */
+  void SetQuarantined(size_t requests);
+  /**
+   * @param upstreams number of upstreams that receive no new requests because
+   *     their zone is evacuated.
+   */
   void SetEvacuated(size_t upstreams);
-  /** @return the text exposition. */
+  /** @return the metrics in the Prometheus text format. */
   std::string Render();
 
  private:
   std::shared_ptr<prometheus::Registry> registry_;
   prometheus::Family<prometheus::Counter>& requests_;
-  prometheus::Family<prometheus::Counter>& repeats_;
-  prometheus::Family<prometheus::Counter>& repeats_refused_;
+  prometheus::Family<prometheus::Counter>& retries_;
+  prometheus::Family<prometheus::Counter>& retries_refused_;
   prometheus::Family<prometheus::Counter>& store_calls_;
   prometheus::Gauge& followers_;
   prometheus::Gauge& store_age_;
--- a/libs/entry/include/turmeric/entry/entry_service.h
+++ b/libs/entry/include/turmeric/entry/entry_service.h
@@ -28,13 +28,16 @@
 class WorkQuarantine;
 
 /**
- * Service "entry": an instance on the platform, between callers and
- * upstreams. Serves callers on the front address, the balancer's probes on
- * the readiness address and its metrics.
+ * Service "entry": an instance on the platform, between callers and upstreams.
+ * Serves callers on the front address, the load balancer's probes on the
+ * readiness address, and its metrics on the metrics address.
  */
 class EntryService : public QObject, public kernel::Service {
  public:
-  /** @param settings this instance's. @param link the platform. */
+  /**
+   * @param settings settings of this instance.
+   * @param link the platform.
+   */
   EntryService(config::EntrySettings settings, PlatformLink link);
   ~EntryService() override;
 
@@ -42,12 +45,16 @@
   utils::Result<void> Start(kernel::Kernel& kernel) override;
   void Stop() override;
   /**
-   * A planned stop: not ready at once, serves on until the balancer has
-   * noticed and the open requests have ended, at most for the stop grace.
+   * Begins a planned stop: the instance is not ready from now on, but serves
+   * until the load balancer has detected this and the open requests have ended,
+   * at most for the stop grace.
    * @param done called once, when the process may exit.
    */
   void Drain(std::function<void()> done);
-  /** @param settings read anew; addresses stay as they are. */
+  /**
+   * Applies changed settings; addresses stay as they are.
+   * @param settings the settings as read again.
+   */
   void Reload(const config::EntrySettings& settings);
   /** @return bound port for callers. */
   uint16_t front_port() const { return front_->port(); }
@@ -55,7 +62,7 @@
   uint16_t readiness_port() const { return readiness_->port(); }
 
  private:
-  void JoinInstances();
+  void ConnectPeerEvents();
   utils::Result<void> StartPeers();
   void AcceptCaller(int fd);
   void AcceptProbe(int fd);
@@ -63,7 +70,7 @@
                  http::RequestMessage&& message);
   void OnProbe(http::ServerConnection& connection,
                const http::RequestMessage& message);
-  /** @param action done to each request that is open. */
+  /** @param action called with each open request. */
   void ForEachRun(const std::function<void(RequestRun&)>& action);
   void CheckDrained();
   http::ServerLimits Limits() const;
@@ -91,7 +98,7 @@
   bool draining_ = false;
   std::chrono::steady_clock::time_point drain_began_;
   std::function<void()> on_drained_;
-  QTimer drain_check_;
+  QTimer drain_timer_;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/follow_policy.h
+++ b/libs/entry/include/turmeric/entry/follow_policy.h
@@ -10,94 +10,123 @@
 namespace turmeric::entry {
 
 /**
- * Decides from whom an instance hears of the store's changes: from two relays,
- * or from the store itself. Nothing here calls anybody; time is passed in.
+ * Decides from which sources an instance receives the store's changes: from two
+ * relays (peer instances that pass changes on) or from the store itself.
+ * Performs no I/O; the current time is passed in.
  */
 class FollowPolicy {
  public:
   using Clock = std::chrono::steady_clock;
 
-  /** Relays asked at a time, so that the loss of one is no gap. */
+  /**
+   * Relays followed at a time, so that changes keep arriving when one fails.
+   */
   static constexpr size_t kSources = 2;
 
-  /** Why a relay is no longer asked. */
+  /** Why a relay is no longer followed. */
   enum class Fault {
-    kNone,         ///< It is of use, or may soon be.
-    kNoAnswer,     ///< It did not answer the first request.
-    kSilent,       ///< It has said nothing for too long.
-    kBehind,       ///< It lacks changes that are known here.
-    kBetterKnown,  ///< Relays that are preferred have answered.
+    kNone,        ///< It delivers changes, or may still do so.
+    kNoAnswer,    ///< It did not answer the first follow request.
+    kSilent,      ///< Its last status is older than the timeout.
+    kBehind,      ///< It lacks changes that are known here.
+    kSuperseded,  ///< All preferred relays deliver changes.
   };
-  /** A relay that is no longer asked. */
+  /** A relay that is no longer followed. */
   struct Dropped {
     std::string name;
     Fault why = Fault::kNone;
   };
-  /** What to do now. */
+  /** The actions that the caller must take now. */
   struct Decision {
-    std::vector<std::string> ask;  ///< Relays to ask in addition.
-    std::vector<Dropped> drop;     ///< Relays not to be asked any more.
-    bool watch = false;            ///< Follow the store ourselves.
-    /** Others find out when the store is back; ask it seldom till then. */
-    bool patient = false;
-    std::string_view why;  ///< Of `watch`, a short fixed word.
+    std::vector<std::string>
+        to_follow;                 ///< Relays to send a follow request to.
+    std::vector<Dropped> to_drop;  ///< Relays to stop following.
+    bool watch = false;            ///< Watch the store from this instance.
+    /**
+     * While the store is unreachable, retry at long intervals: followed relays
+     * report when it is reachable again.
+     */
+    bool slow_retry = false;
+    std::string_view why;  ///< Reason for `watch`, a fixed word for logs.
   };
-  /** What a decision goes by, besides what was heard. */
+  /** Inputs of a decision besides the statuses received from relays. */
   struct Situation {
-    /** Relays that may be asked, best first; nullopt: the fleet is not known
-     * yet. */
+    /**
+     * Relays that may be followed, best first; nullopt: the fleet's list is not
+     * known yet.
+     */
     std::optional<std::vector<std::string>> preferred;
-    bool is_relay = false;  ///< Others rely on us.
-    /** When the store last answered us. */
-    Clock::time_point store_heard;
-    /** How long a relay's watch waits at the store without a change. */
+    bool is_relay = false;  ///< Chosen as a relay, or has followers.
+    /** When the store last answered this instance. */
+    Clock::time_point store_answered_at;
+    /** How long a relay's watch waits at the store when nothing changes. */
     std::chrono::milliseconds watch_wait{5000};
   };
 
   /**
-   * A relay has told its state.
-   * @param name who. @param store_age since anybody on its path to the store
-   *     heard it. @param behind true if it lacks changes that we know.
-   * @param now the time.
+   * Records a status received from a relay.
+   * @param name name of the relay.
+   * @param store_age time since the last answer of the store on the relay's
+   *     path to it.
+   * @param behind true if the relay lacks changes that are known here.
+   * @param now current time.
+   */
+  void OnStatus(const std::string& name, std::chrono::milliseconds store_age,
+                bool behind, Clock::time_point now);
+  /**
+   * Records that the connection to a relay has ended, or that the relay has
+   * begun a planned stop.
+   * @param name name of the relay.
+   * @param now current time.
    */
-  void OnHeard(const std::string& name, std::chrono::milliseconds store_age,
-               bool behind, Clock::time_point now);
-  /** The connection to a relay has ended, or it stops. @param name who.
-   * @param now the time. */
-  void OnLost(const std::string& name, Clock::time_point now);
-  /** @param situation see Situation. @param now the time. @return what to do.
+  void OnDisconnected(const std::string& name, Clock::time_point now);
+  /**
+   * @param situation see Situation.
+   * @param now current time.
+   * @return the actions to take.
    */
   Decision Decide(const Situation& situation, Clock::time_point now);
-  /** @param now the time. @return since when none of the relays that we rely
-   * on has heard the store; the longest time there is if we rely on none. */
-  std::chrono::milliseconds OthersStoreAge(Clock::time_point now) const;
   /**
-   * @param store_heard when the store last answered us. @param now the time.
-   * @return since when nobody on our paths to the store has heard it.
+   * @param now current time.
+   * @return time since the last answer of the store on the path of any followed
+   *     relay that delivers changes; milliseconds::max() if there is no such
+   *     relay.
    */
-  std::chrono::milliseconds StoreAge(Clock::time_point store_heard,
+  std::chrono::milliseconds RelayedStoreAge(Clock::time_point now) const;
+  /**
+   * @param store_answered_at when the store last answered this instance.
+   * @param now current time.
+   * @return time since the last answer of the store to this instance or on the
+   *     path of a followed relay.
+   */
+  std::chrono::milliseconds StoreAge(Clock::time_point store_answered_at,
                                      Clock::time_point now) const;
-  /** @return true if the relay is one that we have asked. @param name who. */
-  bool Asks(const std::string& name) const { return sources_.contains(name); }
-  /** @return the relays that we ask. */
+  /**
+   * @param name name of an instance.
+   * @return true if it is a followed relay.
+   */
+  bool IsFollowed(const std::string& name) const {
+    return sources_.contains(name);
+  }
+  /** @return the followed relays. */
   std::vector<std::string> sources() const;
 
  private:
   struct Source {
-    Clock::time_point asked;
-    std::optional<Clock::time_point> heard;
-    std::chrono::milliseconds store_age{0};  ///< When it was heard.
+    Clock::time_point requested_at;
+    std::optional<Clock::time_point> last_status_at;
+    std::chrono::milliseconds store_age{0};  ///< As of last_status_at.
     std::optional<Clock::time_point> behind_since;
   };
-  /** A relay that was passed by, and till when. */
-  struct Avoided {
-    Clock::time_point till;
-    std::chrono::milliseconds pause{0};
+  /** A relay that is not followed until the backoff has elapsed. */
+  struct Backoff {
+    Clock::time_point until;
+    std::chrono::milliseconds delay{0};
   };
 
   Fault FaultOf(const Source& source, Clock::time_point now) const;
-  bool IsGood(const Source& source, Clock::time_point now) const;
-  void Avoid(const std::string& name, Clock::time_point now);
+  bool IsDelivering(const Source& source, Clock::time_point now) const;
+  void BackOff(const std::string& name, Clock::time_point now);
   void DropFaulty(Clock::time_point now, Decision& decision);
   std::vector<std::string> Wanted(const Situation& situation,
                                   Clock::time_point now);
@@ -105,11 +134,14 @@
                    Decision& decision);
 
   std::map<std::string, Source> sources_;
-  std::map<std::string, Avoided> avoided_;
+  std::map<std::string, Backoff> backoffs_;
   std::optional<Clock::time_point> started_;
 };
 
-/** @param fault one of them. @return its name in logs. */
+/**
+ * @param fault reason why a relay is no longer followed.
+ * @return its name in logs.
+ */
 std::string_view FaultName(FollowPolicy::Fault fault);
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/instance_directory.h
+++ b/libs/entry/include/turmeric/entry/instance_directory.h
@@ -12,32 +12,37 @@
 namespace turmeric::entry {
 
 /**
- * Reads the store's list of instances and enters this one unless it stands
- * there: at the start, then seldom, from reads that may be stale. Entries of
- * instances that are gone stay: a reader must find out who answers.
+ * Reads the store's list of instances and registers this one unless the list
+ * contains it: frequently at the start, then rarely, from reads that may be
+ * stale. Entries of instances that no longer exist stay in the list, so a
+ * reader must find out which instances are reachable.
  */
 class InstanceDirectory : public QObject {
  public:
-  /** Told the list each time it was read, with us in it, and whether we stand
-   * in it for others to read. */
+  /**
+   * Called after each read with the list, which always includes this instance,
+   * and with whether the store's list contains it.
+   */
   using ChangeCallback = std::function<void(const Instances&, bool listed)>;
 
   /**
-   * @param source the store; must outlive this. @param kind kind of the
-   * entries. @param name our name. @param info what others are to know of us.
+   * @param source the store; must outlive this object.
+   * @param kind kind of the entries.
+   * @param name name of this instance.
+   * @param info entry of this instance.
    * @param on_change see ChangeCallback.
    */
   InstanceDirectory(store::ObjectSource& source, std::string kind,
                     std::string name, InstanceInfo info,
                     ChangeCallback on_change);
 
-  /** Begins to read, and enters this instance. */
+  /** Starts reading, and registers this instance. */
   void Start();
 
  private:
-  void Enter();
-  /** Enters, at a time of its own. */
-  void EnterLater();
+  void Register();
+  /** Registers after a random delay. */
+  void RegisterLater();
   void Read();
   void OnRead(std::span<const store::SourceObject> objects);
 
@@ -46,10 +51,10 @@
   std::string name_;
   InstanceInfo info_;
   ChangeCallback on_change_;
-  QTimer next_;
-  QTimer enter_;
+  QTimer read_timer_;
+  QTimer register_timer_;
   int reads_ = 0;
-  bool entered_ = false;
+  bool registered_ = false;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/instance_info.h
+++ b/libs/entry/include/turmeric/entry/instance_info.h
@@ -5,11 +5,11 @@
 
 namespace turmeric::entry {
 
-/** What the fleet's list says of one instance. */
+/** Entry of one instance in the fleet's list. */
 struct InstanceInfo {
   std::string address;   ///< "ip:port" for other instances.
   std::string zone;      ///< Availability zone; empty: not stated.
-  double cpu_share = 0;  ///< Of a core; 0: not stated.
+  double cpu_share = 0;  ///< As a fraction of a core; 0: not stated.
 
   bool operator==(const InstanceInfo&) const = default;
 };
--- a/libs/entry/include/turmeric/entry/instance_links.h
+++ b/libs/entry/include/turmeric/entry/instance_links.h
@@ -15,62 +15,90 @@
 
 struct EntryContext;
 
-/** What an instance's connection to us says of it. */
+/** State of an instance as shown by its connection to this instance. */
 enum class Presence {
-  kHere,     ///< It has connected.
-  kLeaving,  ///< It has begun a planned stop.
-  kGone,     ///< The connection has ended; it may be back at any moment.
+  kConnected,     ///< It has connected.
+  kLeaving,       ///< It has begun a planned stop.
+  kDisconnected,  ///< The connection has ended; the instance may reconnect.
 };
 
 /**
- * The other instances of the fleet, which of them can be reached, and the
- * connections that we open to them. Each is connected to once, so that all know
- * at the same time who is here again and who leaves: found out by every
- * instance alone, the queue of an owner would be in several places meanwhile.
+ * The other instances of the fleet, their reachability, and the connections
+ * that this instance opens to them. Every instance opens one connection to each
+ * other, so that all learn at the same time that an instance has started or is
+ * stopping. If each found this out by itself, instances would disagree about
+ * owners, and the queue of one owner would be at several instances for a while.
  */
 class InstanceLinks : public QObject {
  public:
   using Clock = std::chrono::steady_clock;
 
-  /** Told of what happens on our connections. */
+  /** Callbacks for events on connections opened by this instance. */
   struct Events {
     std::function<void(const std::string& name, peer::Frame&&)> on_frame;
-    /** @param again_there true: a reset, which says nothing of the instance. */
-    std::function<void(const std::string& name, bool again_there)> on_lost;
-    /** @param frame the first on a new connection; may be added to. */
+    /**
+     * @param was_reset true: the connection was reset, which does not mean that
+     *     the instance has failed.
+     */
+    std::function<void(const std::string& name, bool was_reset)> on_lost;
+    /** @param frame the first frame on a new connection; may be added to. */
     std::function<void(peer::Frame& frame)> on_connect;
   };
 
-  /** @param context the instance's state; must outlive this. */
+  /** @param context state of this instance; must outlive this object. */
   explicit InstanceLinks(EntryContext& context);
 
   /** @param events see Events. */
   void set_events(Events events) { events_ = std::move(events); }
-  /** The fleet's list was read. @param fleet all instances, ourselves
-   * included. @param listed true if we stand in the list. */
+  /**
+   * Takes over the fleet's list.
+   * @param fleet all instances, including this one.
+   * @param listed true if the store's list contains this instance.
+   */
   void SetInstances(const Instances& fleet, bool listed);
-  /** @param name an instance that has a connection to us, or had. @param
-   * presence what that says of it. */
-  void OnSeen(const std::string& name, Presence presence);
-  /** A planned stop: all are told, and we own nothing any more. */
+  /**
+   * Records the state of an instance as shown by its connection to this one.
+   * @param name name of the instance.
+   * @param presence the state.
+   */
+  void OnPresence(const std::string& name, Presence presence);
+  /**
+   * Begins a planned stop: notifies all connected instances; this instance owns
+   * nothing any more.
+   */
   void Leave();
 
-  /** @return true unless most of the other instances were not reached. */
+  /** @return true if at least half of the other instances are reachable. */
   bool ReachesMost() const;
-  /** @param key of what is owned. @return the instance that owns it, by
-   * rendezvous hashing over those that can be reached; nullopt: ourselves. */
+  /**
+   * @param key key of an owned object, such as a queue.
+   * @return the owner by rendezvous hashing over the instances that are
+   *     reachable and not stopping; nullopt: this instance.
+   */
   std::optional<std::string> OwnerOf(const std::string& key);
-  /** @param name another instance. @return a connection to it, opened if there
-   * is none; nullptr if the name is not known. */
+  /**
+   * @param name name of another instance.
+   * @return a connection to it, opened if there is none; nullptr if the name is
+   *     unknown.
+   */
   peer::PeerLink* Open(const std::string& name);
-  /** @param add adds to the next frame to each instance that is not down. */
-  void TellAll(const std::function<void(peer::Frame& frame)>& add);
-  /** @param name another instance. @return our open connection, or nullptr. */
+  /** @param add adds to the next frame to each reachable instance. */
+  void Broadcast(const std::function<void(peer::Frame& frame)>& add);
+  /**
+   * @param name name of another instance.
+   * @return the connection opened to it, or nullptr.
+   */
   peer::PeerLink* Find(const std::string& name);
-  /** @param name another instance that does not answer: its connection ends,
-   * and it counts as not reachable. */
-  void GiveUp(const std::string& name);
-  /** @param name an instance. @return true if it has begun a planned stop. */
+  /**
+   * Closes the connection to an instance that does not answer, and marks it as
+   * unreachable.
+   * @param name name of the instance.
+   */
+  void CloseUnresponsive(const std::string& name);
+  /**
+   * @param name name of an instance.
+   * @return true if it has begun a planned stop.
+   */
   bool leaving(const std::string& name) const;
 
  private:
@@ -78,24 +106,24 @@
     std::string address;
     peer::PeerLink* link = nullptr;
     bool leaving = false;
-    bool down = false;  ///< Not reached; not asked until it is heard again.
-    int failures = 0;   ///< Connections in a row that failed.
+    bool unreachable = false;  ///< Owns nothing until it responds again.
+    int failures = 0;          ///< Consecutive failed connections.
     Clock::time_point retry_at;
-    /** When it would last have been chosen, had it not been down. */
-    Clock::time_point missed;
+    /** When it would last have been an owner, had it been reachable. */
+    Clock::time_point wanted_at;
   };
 
   peer::PeerLink& Connect(const std::string& name, Instance& instance);
   void OnFrame(const std::string& name, peer::Frame&& frame);
   void OnEnd(const std::string& name, std::string_view why);
-  void NoteDown(Instance& instance);
-  void RetryDown();
+  void MarkUnreachable(Instance& instance);
+  void RetryUnreachable();
 
   EntryContext& context_;
-  std::string identity_;  ///< Our name and which start of it this is.
+  std::string identity_;  ///< Name and random suffix of this process start.
   Events events_;
-  std::map<std::string, Instance> instances_;  ///< By name, without us.
-  QTimer retry_;
+  std::map<std::string, Instance> instances_;  ///< By name, without this one.
+  QTimer retry_timer_;
   bool leaving_ = false;
 };
 
--- a/libs/entry/include/turmeric/entry/piece_host.h
+++ b/libs/entry/include/turmeric/entry/piece_host.h
@@ -16,7 +16,7 @@
 
 class PlacementDesk;
 class StageDispatcher;
-class StoreNews;
+class RevisionGossip;
 
 /**
  * Takes pieces from other instances and has our dispatcher make them. An
@@ -35,7 +35,7 @@
   /** @param local our dispatcher. @param desk places what we own. @param news
    * of the store, to and from guests. All must outlive this.
    * @param on_seen see SeenCallback. */
-  PieceHost(StageDispatcher& local, PlacementDesk& desk, StoreNews& news,
+  PieceHost(StageDispatcher& local, PlacementDesk& desk, RevisionGossip& news,
             SeenCallback on_seen);
   ~PieceHost() override;
 
@@ -85,7 +85,7 @@
 
   StageDispatcher& local_;
   PlacementDesk& desk_;
-  StoreNews& news_;
+  RevisionGossip& news_;
   SeenCallback on_seen_;
   FollowCallback on_follow_;
   std::function<void(peer::Frame&)> on_guest_;
--- a/libs/entry/include/turmeric/entry/platform_link.h
+++ b/libs/entry/include/turmeric/entry/platform_link.h
@@ -13,18 +13,23 @@
 
 namespace turmeric::entry {
 
-/** What the entry service needs of the platform; filled by the adapter. */
+/**
+ * The parts of the platform that the entry service needs; provided by the
+ * platform's adapter.
+ */
 struct PlatformLink {
   WireFormat wire;
   std::unique_ptr<store::ObjectSource> source;
   std::string config_kind;     ///< Kind of the operator's configuration.
-  std::string config_name;     ///< Name of the one object that holds it.
-  std::string upstreams_kind;  ///< Kind of the upstreams' entries.
-  /** Kind of the operator's entries that each name a zone, whose upstreams get
-   * nothing new while the entry is there. */
+  std::string config_name;     ///< Name of the only object that holds it.
+  std::string upstreams_kind;  ///< Kind of the entries of upstreams.
+  /**
+   * Kind of the operator's entries for evacuation: each names a zone whose
+   * upstreams receive nothing new while the entry exists.
+   */
   std::string evacuations_kind;
-  std::string instances_kind;  ///< Our own kind: the instances at work.
-  /** Our own kind: requests that end the upstreams which run them. */
+  std::string instances_kind;  ///< Written by instances: list of the fleet.
+  /** Written by instances: requests that crash the upstreams that run them. */
   std::string quarantine_kind;
   std::function<std::optional<routing::RouteTable>(const QJsonObject&)>
       decode_table;
--- a/libs/entry/include/turmeric/entry/revision_gossip.h
+++ b/libs/entry/include/turmeric/entry/revision_gossip.h
@@ -9,37 +9,47 @@
 namespace turmeric::entry {
 
 /**
- * How new the store's changes are that each instance knows, told with every
- * frame between any two. An instance whose watch or relays were lost without a
- * word learns from the next frame of any other that it is behind, and asks the
- * store. The changes themselves are passed on by StoreRelay.
+ * Exchanges the revisions of the newest store changes with every frame between
+ * any two instances. An instance whose watch or relays were lost unnoticed
+ * learns from the next frame of any peer instance that it is behind, and asks
+ * the store. The changes themselves are passed on by StoreRelay.
  */
-class StoreNews {
+class RevisionGossip {
  public:
   using Clock = std::chrono::steady_clock;
 
-  /** Newest changes seen, by their revisions; 0: none. */
-  using Seen = peer::StoreRevisions;
-
-  /** @param own gives what this instance has seen. @param on_heard told what
-   * another one has seen. */
-  void Connect(std::function<Seen()> own,
-               std::function<void(const Seen&)> on_heard);
-  /** @param frame leaves now; gets what we have seen. */
-  void Tell(peer::Frame& frame) const;
-  /** @param frame of another instance. @param now the time. */
-  void Hear(const peer::Frame& frame, Clock::time_point now);
+  /** Revisions of the newest changes known, by kind; 0: none. */
+  using Revisions = peer::StoreRevisions;
+
+  /**
+   * @param own returns the revisions known to this instance.
+   * @param on_received called with the revisions known to a peer instance.
+   */
+  void Connect(std::function<Revisions()> own,
+               std::function<void(const Revisions&)> on_received);
+  /**
+   * Adds the revisions known to this instance to a frame.
+   * @param frame frame that is about to be sent.
+   */
+  void AddTo(peer::Frame& frame) const;
+  /**
+   * Handles the revisions in a received frame.
+   * @param frame frame of a peer instance.
+   * @param now current time.
+   */
+  void ReadFrom(const peer::Frame& frame, Clock::time_point now);
   /**
-   * @param instances that wait at the store. @param now the time.
+   * @param instances number of instances that watch the store.
+   * @param now current time.
    * @return how long a watch of the store may wait.
    */
   std::chrono::milliseconds WatchWait(int instances,
                                       Clock::time_point now) const;
 
  private:
-  std::function<Seen()> own_;
-  std::function<void(const Seen&)> on_heard_;
-  Clock::time_point heard_at_;
+  std::function<Revisions()> own_;
+  std::function<void(const Revisions&)> on_received_;
+  Clock::time_point received_at_;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/store_relay.h
+++ b/libs/entry/include/turmeric/entry/store_relay.h
@@ -13,43 +13,59 @@
 namespace turmeric::entry {
 
 /**
- * Passes the store's changes on to the instances that have asked for them.
- * What a follower was sent last is remembered, so each batch joins on the one
- * before; a follower that does not ask again is forgotten. Time is passed in.
+ * Passes the store's changes on to the follower instances that have requested
+ * them. The last revision sent to each follower is recorded, so that each batch
+ * continues the one before; a follower that does not renew its request is
+ * removed. The current time is passed in.
  */
 class StoreRelay {
  public:
   using Clock = std::chrono::steady_clock;
-  /** @return the frame that leaves next to a follower, or nullptr if there is
-   * no connection to it. */
-  using FrameTo = std::function<peer::Frame*(const std::string& follower)>;
+  /**
+   * @return the next frame to be sent to a follower, or nullptr if there is no
+   *     connection to it.
+   */
+  using OutgoingFrameCallback =
+      std::function<peer::Frame*(const std::string& follower)>;
 
-  /** @param frame_to see FrameTo. */
-  explicit StoreRelay(FrameTo frame_to);
+  /** @param outgoing_frame see OutgoingFrameCallback. */
+  explicit StoreRelay(OutgoingFrameCallback outgoing_frame);
 
   /**
-   * An instance asks for changes, asks again, or needs them no more.
-   * @param follower who, by one start of it. @param request what it wants.
-   * @param status our state, told with the answer. @param now the time.
+   * Handles a request of an instance to begin, renew or end following.
+   * @param follower name and incarnation of the instance.
+   * @param request its request.
+   * @param status status of this relay, sent with the answer.
+   * @param now current time.
    */
   void OnFollow(const std::string& follower, const peer::FollowRequest& request,
                 const peer::RelayStatus& status, Clock::time_point now);
-  /** @param expects true: followers may come at any moment, and changes are
-   * remembered for them. */
+  /**
+   * @param expects true: followers may connect at any moment, so changes are
+   *     kept for them.
+   */
   void set_expects_followers(bool expects) { expects_followers_ = expects; }
-  /** Changes were merged here. @param kind theirs. @param batch they.
-   * @param status our state. */
+  /**
+   * Passes on changes that were merged into the local replica.
+   * @param kind kind of the changed objects.
+   * @param batch the changes.
+   * @param status status of this relay.
+   */
   void OnMerged(peer::StoreKind kind, const store::ChangeBatch& batch,
                 const peer::RelayStatus& status);
-  /** Tells followers that we are at work and how far we know the store.
-   * @param status our state. @param now the time. */
-  void Beat(const peer::RelayStatus& status, Clock::time_point now);
-  /** @return instances that we pass changes on to. */
+  /**
+   * Sends the status of this relay and its revisions to all followers, and
+   * removes followers that have not renewed their requests.
+   * @param status status of this relay.
+   * @param now current time.
+   */
+  void SendHeartbeats(const peer::RelayStatus& status, Clock::time_point now);
+  /** @return number of followers. */
   size_t followers() const { return followers_.size(); }
 
  private:
   struct Follower {
-    Clock::time_point asked;
+    Clock::time_point requested_at;
     peer::StoreRevisions sent;
   };
 
@@ -57,20 +73,23 @@
   void Resync(peer::Frame& frame, Follower& follower, peer::StoreKind kind,
               int64_t known);
 
-  FrameTo frame_to_;
+  OutgoingFrameCallback outgoing_frame_;
   bool expects_followers_ = false;
   std::array<store::ChangeHistory, peer::kAllStoreKinds.size()> histories_;
   std::map<std::string, Follower> followers_;
 };
 
-/** @param objects as read from the store. @return them as they are sent. */
+/**
+ * @param objects objects as read from the store.
+ * @return the objects in wire format.
+ */
 std::vector<peer::StoreObject> ToWire(
     const std::vector<store::SourceObject>& objects);
 
 /**
- * @param changes as received.
- * @return them as the store would tell them; nullopt if an object's content is
- *     no JSON object.
+ * @param changes changes as received.
+ * @return the changes as a batch of the store; nullopt if an object's content
+ *     is not a JSON object.
  */
 std::optional<store::ChangeBatch> FromWire(const peer::StoreChanges& changes);
 
--- a/libs/entry/include/turmeric/entry/store_sharing.h
+++ b/libs/entry/include/turmeric/entry/store_sharing.h
@@ -18,48 +18,67 @@
 class TopologyFeed;
 
 /**
- * Shares what the platform's store says between instances: asks relays for its
- * changes, and passes on what is in force here to those that ask us. Joins the
- * decisions of FollowPolicy and StoreRelay with the connections.
+ * Shares the contents of the platform's store between instances: follows relays
+ * for changes, and passes the changes that are in force here on to follower
+ * instances. Applies the decisions of FollowPolicy and StoreRelay to the
+ * connections.
  */
 class StoreSharing : public QObject {
  public:
-  /** @param context the instance's state. @param links to the other
-   * instances. @param feed keeps what the store says. All must outlive this.
-   * @param frame_to gives the frame that leaves next to one that asks us. */
+  /**
+   * @param context state of this instance; must outlive this object.
+   * @param links connections to the other instances; must outlive this
+   *     object.
+   * @param feed local copy of the store's contents; must outlive this object.
+   * @param outgoing_frame returns the next frame to be sent to a follower.
+   */
   StoreSharing(EntryContext& context, InstanceLinks& links, TopologyFeed& feed,
-               StoreRelay::FrameTo frame_to);
+               StoreRelay::OutgoingFrameCallback outgoing_frame);
 
-  /** Begins; to be called before the feed is started. */
+  /** Starts following relays; must be called before the feed is started. */
   void Start();
-  /** @param fleet all instances, ourselves included. */
+  /** @param fleet all instances, including this one. */
   void SetInstances(const Instances& fleet);
-  /** An instance asks us for changes. @param follower one start of it.
-   * @param request what it wants. */
+  /**
+   * Handles a follow request.
+   * @param follower name and incarnation of the sender.
+   * @param request its request.
+   */
   void OnFollow(const std::string& follower,
                 const peer::FollowRequest& request);
-  /** @param name an instance that we have a connection to. @param frame from
-   * it. */
+  /**
+   * Handles a frame received on a connection opened by this instance.
+   * @param name name of the sender.
+   * @param frame the frame.
+   */
   void OnFrame(const std::string& name, const peer::Frame& frame);
-  /** Our connection to an instance has ended. @param name who. */
+  /**
+   * Handles the end of a connection opened by this instance.
+   * @param name name of the peer instance.
+   */
   void OnLost(const std::string& name);
 
-  /** @return up to when all configurations that the store has accepted are
-   * known here, by our own calls or by what relays tell of theirs. */
-  std::chrono::steady_clock::time_point config_known_to() const;
+  /**
+   * @return the time up to which all configurations accepted by the store are
+   *     known here, by own calls or from the statuses of relays.
+   */
+  std::chrono::steady_clock::time_point config_current_at() const;
 
  private:
   using Clock = std::chrono::steady_clock;
 
-  void Tick();
+  void Check();
   void Decide();
-  void Ask(const std::string& name, bool resync);
-  void Drop(const FollowPolicy::Dropped& dropped);
+  void SendFollow(const std::string& name, bool resync);
+  void Unfollow(const FollowPolicy::Dropped& dropped);
   void SetWatch(const FollowPolicy::Decision& decision);
   FollowPolicy::Situation CurrentSituation() const;
-  /** @return our state as a relay; nullopt until all was read once. */
+  /**
+   * @return status of this instance as a relay; nullopt until all kinds of
+   *     objects were listed once.
+   */
   std::optional<peer::RelayStatus> Status() const;
-  /** A relay tells how far it knows the configurations. */
+  /** Records how recent the configuration of a relay is. */
   void NoteConfigAge(const peer::RelayStatus& status, Clock::time_point now);
   /** @return true if the sender lacks changes that are known here. */
   bool IsBehind(const peer::RelayStatus& status) const;
@@ -72,10 +91,10 @@
   std::optional<std::vector<std::string>> preferred_;
   bool ranked_relay_ = false;
   std::string_view watch_why_;
-  Clock::time_point config_relayed_to_;  ///< As config_known_to, by relays.
-  Clock::time_point asked_at_;
-  Clock::time_point beat_at_;
-  QTimer tick_;
+  Clock::time_point relayed_config_at_;  ///< By statuses of relays only.
+  Clock::time_point follow_sent_at_;
+  Clock::time_point heartbeat_sent_at_;
+  QTimer check_timer_;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/topology_feed.h
+++ b/libs/entry/include/turmeric/entry/topology_feed.h
@@ -23,130 +23,165 @@
 struct PlatformLink;
 
 /**
- * Keeps an instance's route table and upstreams as the store has them, by its
- * own calls or by what other instances pass on. A table is replaced only by
- * one of a higher version, so an accepted configuration never reverts,
- * whatever a read returns or another instance tells.
+ * Keeps an instance's route table, upstreams and evacuated zones as they are in
+ * the store, by own calls or from changes that other instances pass on. A table
+ * is only replaced by one of a higher version, so an accepted configuration
+ * never reverts, whatever a read returns or another instance sends.
  */
 class TopologyFeed : public QObject {
  public:
   using Clock = std::chrono::steady_clock;
-  /** Told of changes that are in force here now. */
+  /** Called with changes that are now in force here. */
   using MergedCallback =
       std::function<void(peer::StoreKind, const store::ChangeBatch&)>;
 
-  /** @param context what is kept up to date. @param link the platform. */
+  /**
+   * @param context state that is kept up to date.
+   * @param link the platform.
+   */
   TopologyFeed(EntryContext& context, PlatformLink& link);
   ~TopologyFeed() override;
 
-  /** Reads the store, and follows it unless told otherwise. */
+  /** Lists the store, and watches it unless Watch has disabled that. */
   void Start();
-  /** @param watch false: changes come from other instances; the store is only
-   * asked for what they lack. @param patient see store::Reflector. */
-  void Watch(bool watch, bool patient);
-  /** @param watchers how many instances wait at the store; their answers come
-   * at different times, so each may wait for longer. */
+  /**
+   * Sets whether this instance watches the store.
+   * @param watch false: changes come from other instances; the store is only
+   *     asked for changes that they lack.
+   * @param slow_retry see store::Reflector::set_patient.
+   */
+  void Watch(bool watch, bool slow_retry);
+  /**
+   * @param watchers number of instances that watch the store; their watches end
+   *     at different times, so each may wait longer.
+   */
   void set_watchers(int watchers) { watchers_ = watchers; }
   /** @return how long a watch waits for a change, here and on relays. */
   std::chrono::milliseconds watch_wait() const;
   /**
-   * Another instance passes on changes.
-   * @param source its name, for the log. @param changes they.
+   * Merges changes passed on by another instance.
+   * @param source name of the instance, for the log.
+   * @param changes the changes.
    */
   void Merge(const std::string& source, const peer::StoreChanges& changes);
   /**
    * Asks the store once for a newer configuration, and puts it into force.
-   * @param done told whether what is in force is the store's latest.
+   * @param done called with whether the configuration in force is the store's
+   *     latest.
+   */
+  void FetchConfig(std::function<void(bool is_latest)> done);
+  /**
+   * Records the end of the store's last outage as reported by another instance.
+   * @param at time of the end.
    */
-  void AskForConfig(std::function<void(bool is_latest)> done);
-  /** Another instance knows when the store's last outage ended.
-   * @param at when. */
   void NoteOutageEnded(Clock::time_point at);
   /** @param callback see MergedCallback. */
   void set_on_merged(MergedCallback callback) {
     on_merged_ = std::move(callback);
   }
-  /** @param age gives since when no other instance that we follow has heard
-   * the store. */
-  void set_others_store_age(std::function<std::chrono::milliseconds()> age) {
-    others_store_age_ = std::move(age);
+  /**
+   * @param age returns the time since the last answer of the store on the path
+   *     of any followed relay.
+   */
+  void set_relayed_store_age(std::function<std::chrono::milliseconds()> age) {
+    relayed_store_age_ = std::move(age);
   }
   /** @param callback called when the store has begun a new era. */
   void set_on_new_era(std::function<void()> callback) {
     on_new_era_ = std::move(callback);
   }
-  /** @return when the store last told us of all configurations. */
-  Clock::time_point config_answered() const {
+  /**
+   * @return when the store last confirmed that this instance has all
+   *     configurations.
+   */
+  Clock::time_point config_answered_at() const {
     return kinds_.at(peer::StoreKind::kConfig).reflector->answered_at();
   }
-  /** @return when the store last answered us for all kinds. */
-  Clock::time_point store_heard() const;
-  /** @return the end of its last outage, if one is known. */
+  /**
+   * @return the oldest of the last answers of the store to this instance, over
+   *     all kinds of objects.
+   */
+  Clock::time_point store_answered_at() const;
+  /** @return the end of the store's last outage, if one is known. */
   std::optional<Clock::time_point> outage_ended() const {
     return outage_ended_;
   }
-  /** @return up to which revisions all changes are known. */
+  /** @return the revisions up to which all changes are known. */
   peer::StoreRevisions revisions() const;
-  /** @return the newest changes known. */
-  StoreNews::Seen newest() const;
-  /** @return true once the store was read, also if it holds no table yet. */
-  bool read() const;
-  /** @return true once a table, the upstreams and the evacuations were read. */
+  /** @return the revisions of the newest changes known. */
+  RevisionGossip::Revisions newest_revisions() const;
+  /**
+   * @return true once all kinds of objects were listed, also if there is no
+   *     table yet.
+   */
+  bool all_synced() const;
+  /** @return true once a table, the upstreams and the evacuations are known. */
   bool complete() const;
-  /** @param callback called when complete() turns true. */
+  /** @param callback called when complete() becomes true. */
   void set_on_complete(std::function<void()> callback) {
     on_complete_ = std::move(callback);
   }
 
  private:
-  /** How one kind is followed. */
-  struct Kind {
+  /** State of one kind of objects. */
+  struct KindState {
     store::KindReplica replica;
     std::unique_ptr<store::Reflector> reflector;
   };
 
   store::ReflectorEvents EventsOf(peer::StoreKind kind);
-  Kind& Of(peer::StoreKind kind) { return kinds_.at(kind); }
+  KindState& Of(peer::StoreKind kind) { return kinds_.at(kind); }
   void OnList(peer::StoreKind kind, const store::SourceBatch& list,
               std::chrono::milliseconds outage);
   void OnChanges(peer::StoreKind kind, const store::ChangeBatch& batch,
                  std::chrono::milliseconds outage);
-  void Apply(peer::StoreKind kind, std::span<const store::SourceObject> news,
+  void Apply(peer::StoreKind kind,
+             std::span<const store::SourceObject> changed_objects,
              const std::string& source, bool from_copy = false);
   std::chrono::milliseconds NoteOutage(std::chrono::milliseconds outage);
   void OnConfig(const store::SourceObject& object, const std::string& source);
   void OnUpstreamList(std::span<const store::SourceObject> objects,
                       std::chrono::milliseconds outage, bool from_copy);
   void OnUpstreamChange(const store::SourceObject& object,
-                        Clock::time_point keep_till, bool from_copy);
-  /** @param before position of the kind. @param after position that it gets
-   * now.
-   * @return true if a new era of the store begins with it. */
+                        Clock::time_point keep_until, bool from_copy);
+  /**
+   * Records a change of the store's era.
+   * @param kind kind of objects.
+   * @param before previous position of the kind.
+   * @param after new position of the kind.
+   * @param source origin of the change, for the log.
+   * @return true if the new position is of another era.
+   */
   bool NoteEra(peer::StoreKind kind, store::Position before,
                store::Position after, const std::string& source);
   void OnEvacuation(const store::SourceObject& object,
                     const std::string& source, bool from_copy);
-  /** Puts into force which zones are evacuated now. */
+  /** Applies the current set of evacuated zones to the upstreams. */
   void ApplyEvacuations();
-  /** Keeps till when an upstream is cold, as its entry says. */
+  /**
+   * Extends the time until which an upstream is treated as cold, as stated by
+   * its entry.
+   */
   void NoteCold(std::string_view upstream);
-  std::optional<routing::UpstreamEntry> ReadEntry(
+  std::optional<routing::UpstreamEntry> DecodeEntry(
       const store::SourceObject& object);
   void NoteComplete();
-  /** Till when an entry that is missing after an outage is still used. */
-  Clock::time_point KeepTill() const;
+  /**
+   * @return until when an entry that is missing after an outage is still used.
+   */
+  Clock::time_point KeepUntil() const;
 
   EntryContext& context_;
   PlatformLink& link_;
-  std::map<peer::StoreKind, Kind> kinds_;
+  std::map<peer::StoreKind, KindState> kinds_;
   routing::EvacuatedZones evacuations_;
   int watchers_ = 1;
   std::optional<Clock::time_point> outage_ended_;
   std::function<void()> on_complete_;
   MergedCallback on_merged_;
   std::function<void()> on_new_era_;
-  std::function<std::chrono::milliseconds()> others_store_age_;
-  QTimer expire_;
+  std::function<std::chrono::milliseconds()> relayed_store_age_;
+  QTimer expire_timer_;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/usual_deadlines.h
+++ b/libs/entry/include/turmeric/entry/usual_deadlines.h
@@ -9,31 +9,32 @@
 namespace turmeric::entry {
 
 /**
- * Tells callers that come back from new ones: a caller states the time it has
- * left, and one that returns after a refusal states less than is usual for the
- * route. Its latency target still counts from its first attempt. Answers
- * sustained overload: returning callers taken for new ones go before those
- * that can still be in time, and then neither is. A caller that is much less
- * patient than others counts as returning; it is served behind those that are
- * not, and only while more is asked for than can be in time.
+ * Distinguishes retrying callers from new ones by their deadlines: a caller
+ * states the time that it has left, and one that retries after a refusal states
+ * less than is usual for the route. Its latency target still counts from its
+ * first attempt. Without the distinction, under sustained overload retrying
+ * callers would be served before callers that can still be served in time, and
+ * then both would be late. A caller with a much shorter deadline than others is
+ * treated as retrying; it is served after those that are not, but only while
+ * there are more requests than can be served in time.
  */
 class UsualDeadlines {
  public:
   /**
-   * @param route the request's route. @param stated the time that the caller
-   * has left; none: it has not said.
-   * @return time that the caller has used already; 0 if it is new.
+   * @param route route of the request.
+   * @param stated time that the caller has left; nullopt: not stated.
+   * @return time that the caller has already used; 0 if it is new.
    */
-  std::chrono::milliseconds Used(
+  std::chrono::milliseconds TimeUsed(
       const std::string& route,
       std::optional<std::chrono::milliseconds> stated);
 
  private:
-  struct Stated {
-    std::vector<std::chrono::milliseconds> last;  ///< A ring.
+  struct Samples {
+    std::vector<std::chrono::milliseconds> values;  ///< Ring buffer.
     size_t next = 0;
   };
-  std::map<std::string, Stated> by_route_;
+  std::map<std::string, Samples> by_route_;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/config_check.cc
+++ b/libs/entry/src/config_check.cc
@@ -12,58 +12,63 @@
 
 namespace {
 
-/** Part of the bound kept for the way of answers and of refusals. */
-constexpr milliseconds kTravels{500};
-/** A caller waits no longer for the store's answer, which takes milliseconds.
+/** Part of the bound reserved for the transit of answers and refusals. */
+constexpr milliseconds kTransitMargin{500};
+/**
+ * Upper bound of the time that a caller waits for the store's answer, which
+ * usually takes milliseconds.
  */
-constexpr milliseconds kLongestWait{150};
-/** Pause after a call that failed: a store that is away is asked by each
- * instance already. */
-constexpr milliseconds kPauseAfterFailure{1000};
+constexpr milliseconds kMaxWait{150};
+/**
+ * Delay before a new call after one has failed: the instances that watch the
+ * store already retry while it is unreachable.
+ */
+constexpr milliseconds kRetryDelay{1000};
 
 }  // namespace
 
-ConfigCheck::ConfigCheck(milliseconds bound, KnownTo known_to,
-                         AskStore ask_store)
+ConfigCheck::ConfigCheck(milliseconds bound, CurrentAt current_at,
+                         QueryStore query_store)
     : bound_(bound),
-      known_to_(std::move(known_to)),
-      ask_store_(std::move(ask_store)) {
-  give_up_.setSingleShot(true);
-  connect(&give_up_, &QTimer::timeout, this, [this] { AnswerAll(false); });
+      current_at_(std::move(current_at)),
+      query_store_(std::move(query_store)) {
+  timeout_.setSingleShot(true);
+  connect(&timeout_, &QTimer::timeout, this, [this] { FinishAll(false); });
 }
 
-void ConfigCheck::Ask(Answer answer) {
+void ConfigCheck::Confirm(Callback callback) {
   const auto now = Clock::now();
-  const auto known_to = std::max(answered_to_, known_to_());
-  if (now < known_to + bound_ - kTravels) return answer(true);
-  if (failed_at_ && now < *failed_at_ + kPauseAfterFailure) {
-    return answer(false);
+  const auto current_at = std::max(confirmed_at_, current_at_());
+  if (now < current_at + bound_ - kTransitMargin) return callback(true);
+  if (failed_at_ && now < *failed_at_ + kRetryDelay) {
+    return callback(false);
   }
-  waiting_.push_back(std::move(answer));
-  if (!give_up_.isActive()) give_up_.start(kLongestWait);
-  if (std::exchange(asking_, true)) return;
+  pending_.push_back(std::move(callback));
+  if (!timeout_.isActive()) timeout_.start(kMaxWait);
+  if (std::exchange(query_open_, true)) return;
   const QPointer<ConfigCheck> self(this);
-  ask_store_([self, now](bool is_latest) {
+  query_store_([self, now](bool is_latest) {
     if (self) self->OnAnswer(now, is_latest);
   });
 }
 
-void ConfigCheck::OnAnswer(Clock::time_point asked_at, bool is_latest) {
-  asking_ = false;
+void ConfigCheck::OnAnswer(Clock::time_point queried_at, bool is_latest) {
+  query_open_ = false;
   if (is_latest) {
-    // What was accepted after the question may not be in the answer.
-    answered_to_ = asked_at;
+    // The answer may lack configurations that were accepted after the call was
+    // sent.
+    confirmed_at_ = queried_at;
     failed_at_.reset();
   } else {
     failed_at_ = Clock::now();
-    utils::DecisionLog("config_not_confirmed").Add("waiting", waiting_.size());
+    utils::DecisionLog("config_not_confirmed").Add("waiting", pending_.size());
   }
-  give_up_.stop();
-  AnswerAll(is_latest);
+  timeout_.stop();
+  FinishAll(is_latest);
 }
 
-void ConfigCheck::AnswerAll(bool is_latest) {
-  for (Answer& answer : std::exchange(waiting_, {})) answer(is_latest);
+void ConfigCheck::FinishAll(bool is_latest) {
+  for (Callback& callback : std::exchange(pending_, {})) callback(is_latest);
 }
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/drain_policy.cc
+++ b/libs/entry/src/drain_policy.cc
@@ -8,28 +8,32 @@
 
 namespace {
 
-/** Time that nearly all long requests end in: stages, prompt and events. */
-constexpr milliseconds kLongRequest{5000};
-/** Time that other requests end in, their timeouts included. */
-constexpr milliseconds kShortRequest{1500};
-/** Time kept of the stop grace for the process to exit. */
+/**
+ * Duration within which nearly all long requests end, including stages, prompt
+ * and events.
+ */
+constexpr milliseconds kLongRequestDuration{5000};
+/** Duration within which other requests end, including their timeouts. */
+constexpr milliseconds kShortRequestDuration{1500};
+/** Part of the stop grace reserved for the exit of the process. */
 constexpr milliseconds kExitMargin{300};
-/** Time in which a last answer reaches its caller, should one packet be lost
- * and sent again after some 200 ms. */
-constexpr milliseconds kLastAnswerTravels{300};
+/**
+ * Time for a last answer to reach its caller; covers one lost packet, which is
+ * retransmitted after some 200 ms.
+ */
+constexpr milliseconds kAnswerTransit{300};
 
 }  // namespace
 
 StopSchedule ScheduleStop(std::chrono::steady_clock::time_point began,
                           milliseconds grace) {
   const auto exit = began + std::max(milliseconds(0), grace - kExitMargin);
-  return {.last_answers = std::max(began, exit - kLastAnswerTravels),
-          .exit = exit};
+  return {.last_answers = std::max(began, exit - kAnswerTransit), .exit = exit};
 }
 
-bool TakesWhileStopping(bool is_long, milliseconds since_stop,
-                        milliseconds grace) {
-  return since_stop + (is_long ? kLongRequest : kShortRequest) <
+bool AcceptsWhileStopping(bool is_long, milliseconds since_stop,
+                          milliseconds grace) {
+  return since_stop + (is_long ? kLongRequestDuration : kShortRequestDuration) <
          grace - kExitMargin;
 }
 
--- a/libs/entry/src/entry_metrics.cc
+++ b/libs/entry/src/entry_metrics.cc
@@ -10,8 +10,10 @@
 
 namespace {
 
-/** Upper bounds of the latency histogram, s: around the usual latency
- * targets and deadlines. */
+/**
+ * Upper bounds of the latency histogram in seconds, close to the usual latency
+ * targets and deadlines.
+ */
 const prometheus::Histogram::BucketBoundaries kLatencyBounds = {
     0.01, 0.03, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 1.6, 2.0, 3.0, 6.0, 20.0};
 
@@ -23,36 +25,42 @@
                     .Name("turmeric_entry_requests_total")
                     .Help("Requests by route, status and outcome")
                     .Register(*registry_)),
-      repeats_(prometheus::BuildCounter()
+      retries_(prometheus::BuildCounter()
                    .Name("turmeric_entry_repeats_total")
                    .Help("Sends beyond a request's first, by service")
                    .Register(*registry_)),
-      repeats_refused_(prometheus::BuildCounter()
-                           .Name("turmeric_entry_repeats_refused_total")
-                           .Help("Repeats not sent for want of retry budget")
-                           .Register(*registry_)),
+      retries_refused_(
+          prometheus::BuildCounter()
+              .Name("turmeric_entry_repeats_refused_total")
+              .Help("Retries not sent because the retry budget was exhausted")
+              .Register(*registry_)),
       store_calls_(prometheus::BuildCounter()
                        .Name("turmeric_entry_store_calls_total")
                        .Help("Calls to the platform's store")
                        .Register(*registry_)),
-      followers_(prometheus::BuildGauge()
-                     .Name("turmeric_entry_store_followers")
-                     .Help("Instances that the store's changes are passed to")
-                     .Register(*registry_)
-                     .Add({})),
-      store_age_(prometheus::BuildGauge()
-                     .Name("turmeric_entry_store_age_seconds")
-                     .Help("Since the store was last heard by any path")
-                     .Register(*registry_)
-                     .Add({})),
-      quarantined_(prometheus::BuildGauge()
-                       .Name("turmeric_entry_quarantined_works")
-                       .Help("Requests refused, as upstreams end under them")
-                       .Register(*registry_)
-                       .Add({})),
+      followers_(
+          prometheus::BuildGauge()
+              .Name("turmeric_entry_store_followers")
+              .Help("Instances that this one passes the store's changes on to")
+              .Register(*registry_)
+              .Add({})),
+      store_age_(
+          prometheus::BuildGauge()
+              .Name("turmeric_entry_store_age_seconds")
+              .Help("Time since the last answer of the store on any path")
+              .Register(*registry_)
+              .Add({})),
+      quarantined_(
+          prometheus::BuildGauge()
+              .Name("turmeric_entry_quarantined_works")
+              .Help(
+                  "Requests refused because upstreams crash while running them")
+              .Register(*registry_)
+              .Add({})),
       evacuated_(prometheus::BuildGauge()
                      .Name("turmeric_entry_evacuated_upstreams")
-                     .Help("Upstreams that get nothing new, by their zone")
+                     .Help("Upstreams that get no new requests, as their "
+                           "zone is evacuated")
                      .Register(*registry_)
                      .Add({})),
       latency_(prometheus::BuildHistogram()
@@ -76,12 +84,12 @@
   latency_.Add({{"route", name}}, kLatencyBounds).Observe(seconds);
 }
 
-void EntryMetrics::OnRepeat(std::string_view service) {
-  repeats_.Add({{"service", std::string(service)}}).Increment();
+void EntryMetrics::OnRetry(std::string_view service) {
+  retries_.Add({{"service", std::string(service)}}).Increment();
 }
 
-void EntryMetrics::OnRepeatRefused(std::string_view service) {
-  repeats_refused_.Add({{"service", std::string(service)}}).Increment();
+void EntryMetrics::OnRetryRefused(std::string_view service) {
+  retries_refused_.Add({{"service", std::string(service)}}).Increment();
 }
 
 void EntryMetrics::OnStoreCall(std::string_view kind, std::string_view call,
@@ -99,8 +107,8 @@
   store_age_.Set(std::chrono::duration<double>(store_age).count());
 }
 
-void EntryMetrics::SetQuarantined(size_t works) {
-  quarantined_.Set(static_cast<double>(works));
+void EntryMetrics::SetQuarantined(size_t requests) {
+  quarantined_.Set(static_cast<double>(requests));
 }
 
 void EntryMetrics::SetEvacuated(size_t upstreams) {
@@ -108,8 +116,9 @@
 }
 
 std::string EntryMetrics::Render() {
-  const double seen = static_cast<double>(utils::DecisionLog::dropped());
-  dropped_lines_.Increment(seen - dropped_lines_.Value());
+  const double dropped_total =
+      static_cast<double>(utils::DecisionLog::dropped());
+  dropped_lines_.Increment(dropped_total - dropped_lines_.Value());
   return prometheus::TextSerializer().Serialize(registry_->Collect());
 }
 
--- a/libs/entry/src/entry_service.cc
+++ b/libs/entry/src/entry_service.cc
@@ -29,16 +29,18 @@
 constexpr int kUnavailable = 503;
 constexpr std::string_view kMetricsPath = "/metrics";
 
-/** The balancer probes once a second and takes two misses; after this it
- * sends no new connection to an instance that is not ready. */
-constexpr milliseconds kBalancerNotices{2600};
-constexpr milliseconds kDrainCheck{50};
+/**
+ * The load balancer probes once a second and detects an instance that is not
+ * ready by two failed probes; after this time it opens no new connection to it.
+ */
+constexpr milliseconds kBalancerDetectionTime{2600};
+constexpr milliseconds kDrainCheckInterval{50};
 
 http::Endpoint EndpointOf(const std::string& address) {
   return http::ParseEndpoint(address);
 }
 
-PlatformLink CountCalls(PlatformLink link, EntryMetrics& metrics) {
+PlatformLink WithCountedCalls(PlatformLink link, EntryMetrics& metrics) {
   link.source =
       std::make_unique<CountedSource>(std::move(link.source), metrics);
   return link;
@@ -47,7 +49,7 @@
 }  // namespace
 
 EntryService::EntryService(config::EntrySettings settings, PlatformLink link)
-    : link_(CountCalls(std::move(link), metrics_)),
+    : link_(WithCountedCalls(std::move(link), metrics_)),
       context_(std::move(settings), link_.wire),
       links_(std::make_unique<InstanceLinks>(context_)),
       quarantine_(std::make_unique<WorkQuarantine>(context_, *links_)),
@@ -56,9 +58,9 @@
       desk_(std::make_unique<PlacementDesk>(context_)),
       placer_(std::make_unique<EnginePlacer>(context_, *links_, *desk_)),
       host_(std::make_unique<PieceHost>(
-          *dispatcher_, *desk_, context_.news,
+          *dispatcher_, *desk_, context_.revision_gossip,
           [this](const std::string& name, Presence presence) {
-            links_->OnSeen(name, presence);
+            links_->OnPresence(name, presence);
           })),
       feed_(std::make_unique<TopologyFeed>(context_, link_)),
       sharing_(std::make_unique<StoreSharing>(
@@ -66,25 +68,25 @@
           [this](const std::string& name) { return host_->FrameTo(name); })),
       config_check_(std::make_unique<ConfigCheck>(
           context_.settings.config_bound,
-          [this] { return sharing_->config_known_to(); },
-          [this](ConfigCheck::Answer done) { feed_->AskForConfig(done); })) {
+          [this] { return sharing_->config_current_at(); },
+          [this](ConfigCheck::Callback done) { feed_->FetchConfig(done); })) {
   context_.metrics = &metrics_;
   context_.config_check = config_check_.get();
   context_.stages = router_.get();
   context_.placer = placer_.get();
   context_.quarantine = quarantine_.get();
-  JoinInstances();
+  ConnectPeerEvents();
   front_ =
       std::make_unique<http::Listener>([this](int fd) { AcceptCaller(fd); });
   readiness_ =
       std::make_unique<http::Listener>([this](int fd) { AcceptProbe(fd); });
   metrics_listener_ =
       std::make_unique<http::Listener>([this](int fd) { AcceptProbe(fd); });
-  drain_check_.setInterval(kDrainCheck);
-  connect(&drain_check_, &QTimer::timeout, this, [this] { CheckDrained(); });
+  drain_timer_.setInterval(kDrainCheckInterval);
+  connect(&drain_timer_, &QTimer::timeout, this, [this] { CheckDrained(); });
 }
 
-void EntryService::JoinInstances() {
+void EntryService::ConnectPeerEvents() {
   context_.cold.set_reaches_most([this] { return links_->ReachesMost(); });
   context_.cold.set_owns([this](const std::string& part) {
     return !links_->OwnerOf(part).has_value();
@@ -98,9 +100,9 @@
              router_->OnFrame(frame);
            },
        .on_lost =
-           [this](const std::string& name, bool again_there) {
+           [this](const std::string& name, bool was_reset) {
              placer_->OnOwnerLost(name);
-             router_->OnLost(name, again_there);
+             router_->OnLost(name, was_reset);
              sharing_->OnLost(name);
            },
        .on_connect =
@@ -118,24 +120,24 @@
 }
 
 EntryService::~EntryService() {
-  // Guard: open requests and connections are children of this object, and as
-  // such would be destroyed after the members that they use. A process told
-  // to stop with requests open could then crash, or hang until it is killed.
+  // Open requests and connections are children of this object, so without this
+  // they would be destroyed after the members that they use. A process that is
+  // stopped with open requests could then crash, or hang until it is killed.
   qDeleteAll(QObjectList(children()));
 }
 
 utils::Result<void> EntryService::Start(kernel::Kernel& /*kernel*/) {
   const config::EntrySettings& s = context_.settings;
-  if (auto up = front_->Listen(EndpointOf(s.front_address)); !up) return up;
+  if (auto ok = front_->Listen(EndpointOf(s.front_address)); !ok) return ok;
   if (!s.readiness_address.empty()) {
-    auto up = readiness_->Listen(EndpointOf(s.readiness_address));
-    if (!up) return up;
+    auto ok = readiness_->Listen(EndpointOf(s.readiness_address));
+    if (!ok) return ok;
   }
   if (!s.metrics_address.empty()) {
-    auto up = metrics_listener_->Listen(EndpointOf(s.metrics_address));
-    if (!up) return up;
+    auto ok = metrics_listener_->Listen(EndpointOf(s.metrics_address));
+    if (!ok) return ok;
   }
-  if (auto up = StartPeers(); !up) return up;
+  if (auto ok = StartPeers(); !ok) return ok;
   feed_->set_on_complete([] { utils::DecisionLog("ready"); });
   feed_->set_on_new_era([this] { quarantine_->OnNewEra(); });
   feed_->Start();
@@ -156,7 +158,7 @@
     context_.cold.set_others({});
     return boost::outcome_v2::success();
   }
-  if (auto up = host_->Listen(s.peer_address); !up) return up;
+  if (auto ok = host_->Listen(s.peer_address); !ok) return ok;
   sharing_->Start();
   directory_ = std::make_unique<InstanceDirectory>(
       *link_.source, link_.instances_kind, s.name,
@@ -221,7 +223,7 @@
 
 void EntryService::OnRequest(http::ServerConnection& connection,
                              http::RequestMessage&& message) {
-  // The balancer's probe may come to the callers' address too.
+  // The load balancer may also send probes to the address for callers.
   if (message.target == link_.wire.readiness_path) {
     return OnProbe(connection, message);
   }
@@ -249,7 +251,7 @@
       .Add("connections", callers_.size());
   const auto last_answers = context_.stop()->last_answers;
   ForEachRun([=](RequestRun& run) { run.OnStopBegins(last_answers); });
-  drain_check_.start();
+  drain_timer_.start();
 }
 
 void EntryService::ForEachRun(const std::function<void(RequestRun&)>& action) {
@@ -266,14 +268,15 @@
   if (now >= stop.last_answers) {
     ForEachRun([](RequestRun& run) { run.EndBeforeExit(); });
   }
-  if (since < kBalancerNotices && now < stop.last_answers) return;
+  if (since < kBalancerDetectionTime && now < stop.last_answers) return;
   const auto open = callers_;
   std::ranges::for_each(open, [](auto* c) { c->CloseWhenIdle(); });
-  // Guard: calls for other instances' pieces are work in flight too. Left with
-  // the process, they would be made a second time, and their requests wait.
+  // Calls for pieces of other instances are in flight, too. If the process
+  // exited before they end, they would be run again, and their requests would
+  // be delayed.
   const bool open_work = !callers_.empty() || host_->busy(now);
   if (open_work && now < stop.exit) return;
-  drain_check_.stop();
+  drain_timer_.stop();
   utils::DecisionLog("stopped")
       .Add("open_requests", open_requests())
       .Add("ms", std::chrono::duration_cast<milliseconds>(since).count());
--- a/libs/entry/src/follow_policy.cc
+++ b/libs/entry/src/follow_policy.cc
@@ -11,72 +11,89 @@
 
 namespace {
 
-/** A relay tells its state every second; one that has missed two is frozen,
- * cut off or gone. */
-constexpr milliseconds kSilence{2200};
-/** A relay that was asked answers within this: a connection and a turn of a
- * small processor. */
-constexpr milliseconds kFirstAnswer{1200};
-/** A relay that lacks a change for so long does not get it by itself: it has
- * lost the store without noticing, or tells an age that is not true. */
-constexpr milliseconds kBehindFor{1500};
-/** A relay that was passed by is asked again after this, and after twice as
- * long each further time: entries of instances that are gone stay listed. */
-constexpr milliseconds kFirstAvoid{3000};
-constexpr milliseconds kLongestAvoid{30000};
-/** After its start an instance looks for relays before it follows the store
- * itself: it has just read all there is, and a fleet that starts would
- * otherwise ask several times more. */
-constexpr milliseconds kSeek{2000};
-/** Relays hear of the store with the end of each watch, and tell it with the
- * next beat. If nobody has for so much longer, their connections to it may have
- * gone silent: then everybody asks. */
-constexpr milliseconds kOverdue{2000};
+/**
+ * A relay sends its status every second; one that has missed two is frozen, cut
+ * off or has exited.
+ */
+constexpr milliseconds kStatusTimeout{2200};
+/**
+ * Time for a relay to answer the first follow request: a connection setup and
+ * one turn of the event loop on a small processor.
+ */
+constexpr milliseconds kFirstAnswerTimeout{1200};
+/**
+ * A relay that lacks a known change for this long does not obtain it by itself:
+ * its connection to the store was lost unnoticed, or the store age in its
+ * status is wrong.
+ */
+constexpr milliseconds kBehindTimeout{1500};
+/**
+ * Backoff after a relay was dropped or disconnected, doubled each further time:
+ * the list keeps entries of instances that no longer exist.
+ */
+constexpr milliseconds kMinBackoff{3000};
+constexpr milliseconds kMaxBackoff{30000};
+/**
+ * An instance looks for relays for this long after its start before it watches
+ * the store itself. It has just listed the store, and with watches from all
+ * instances a starting fleet would call the store several times more often.
+ */
+constexpr milliseconds kRelaySearchTime{2000};
+/**
+ * A relay receives an answer from the store at the end of each watch and
+ * reports it with the next heartbeat. If no relay has reported an answer for
+ * this much longer than a watch waits, the relays' connections to the store may
+ * be dead, so every follower watches the store itself.
+ */
+constexpr milliseconds kStoreAnswerMargin{2000};
 
 }  // namespace
 
-void FollowPolicy::OnHeard(const std::string& name, milliseconds store_age,
-                           bool behind, Clock::time_point now) {
+void FollowPolicy::OnStatus(const std::string& name, milliseconds store_age,
+                            bool behind, Clock::time_point now) {
   const auto it = sources_.find(name);
   if (it == sources_.end()) return;
   Source& source = it->second;
-  source.heard = now;
+  source.last_status_at = now;
   source.store_age = store_age;
   if (!behind) {
     source.behind_since.reset();
-    avoided_.erase(name);
+    backoffs_.erase(name);
   } else if (!source.behind_since) {
     source.behind_since = now;
   }
 }
 
-void FollowPolicy::OnLost(const std::string& name, Clock::time_point now) {
-  if (sources_.erase(name) > 0) Avoid(name, now);
+void FollowPolicy::OnDisconnected(const std::string& name,
+                                  Clock::time_point now) {
+  if (sources_.erase(name) > 0) BackOff(name, now);
 }
 
-void FollowPolicy::Avoid(const std::string& name, Clock::time_point now) {
-  Avoided& avoided = avoided_[name];
-  avoided.pause = std::clamp(avoided.pause * 2, kFirstAvoid, kLongestAvoid);
-  avoided.till = now + avoided.pause;
+void FollowPolicy::BackOff(const std::string& name, Clock::time_point now) {
+  Backoff& backoff = backoffs_[name];
+  backoff.delay = std::clamp(backoff.delay * 2, kMinBackoff, kMaxBackoff);
+  backoff.until = now + backoff.delay;
 }
 
 FollowPolicy::Fault FollowPolicy::FaultOf(const Source& source,
                                           Clock::time_point now) const {
-  if (!source.heard) {
-    return now - source.asked > kFirstAnswer ? Fault::kNoAnswer : Fault::kNone;
+  if (!source.last_status_at) {
+    return now - source.requested_at > kFirstAnswerTimeout ? Fault::kNoAnswer
+                                                           : Fault::kNone;
   }
-  // Guard: an instance that is frozen or cut off keeps its connections open.
-  // Relied on, its followers would act on an old configuration until it is
-  // back, long after others have the new one.
-  if (now - *source.heard > kSilence) return Fault::kSilent;
-  if (source.behind_since && now - *source.behind_since > kBehindFor) {
+  // A frozen or disconnected instance keeps its TCP connections open. Its
+  // followers would apply an outdated configuration until it resumes, long
+  // after other instances have the new one.
+  if (now - *source.last_status_at > kStatusTimeout) return Fault::kSilent;
+  if (source.behind_since && now - *source.behind_since > kBehindTimeout) {
     return Fault::kBehind;
   }
   return Fault::kNone;
 }
 
-bool FollowPolicy::IsGood(const Source& source, Clock::time_point now) const {
-  return source.heard && FaultOf(source, now) == Fault::kNone;
+bool FollowPolicy::IsDelivering(const Source& source,
+                                Clock::time_point now) const {
+  return source.last_status_at && FaultOf(source, now) == Fault::kNone;
 }
 
 void FollowPolicy::DropFaulty(Clock::time_point now, Decision& decision) {
@@ -86,8 +103,8 @@
       ++it;
       continue;
     }
-    decision.drop.push_back({it->first, why});
-    Avoid(it->first, now);
+    decision.to_drop.push_back({it->first, why});
+    BackOff(it->first, now);
     it = sources_.erase(it);
   }
 }
@@ -97,8 +114,8 @@
   std::vector<std::string> wanted;
   if (!situation.preferred) return wanted;
   for (const std::string& name : *situation.preferred) {
-    const auto avoided = avoided_.find(name);
-    if (avoided != avoided_.end() && now < avoided->second.till) continue;
+    const auto backoff = backoffs_.find(name);
+    if (backoff != backoffs_.end() && now < backoff->second.until) continue;
     wanted.push_back(name);
     if (wanted.size() == kSources) break;
   }
@@ -113,19 +130,21 @@
   const std::vector<std::string> wanted = Wanted(situation, now);
   for (const std::string& name : wanted) {
     if (sources_.contains(name)) continue;
-    sources_[name].asked = now;
-    decision.ask.push_back(name);
+    sources_[name].requested_at = now;
+    decision.to_follow.push_back(name);
   }
-  // Others are given up only once the wanted ones have answered.
-  const bool all_good = std::ranges::all_of(
-      wanted, [&](const auto& name) { return IsGood(sources_.at(name), now); });
-  if (all_good && situation.preferred) {
+  // Relays outside the wanted set are dropped only once all wanted ones deliver
+  // changes.
+  const bool all_deliver = std::ranges::all_of(wanted, [&](const auto& name) {
+    return IsDelivering(sources_.at(name), now);
+  });
+  if (all_deliver && situation.preferred) {
     for (auto it = sources_.begin(); it != sources_.end();) {
       if (std::ranges::count(wanted, it->first) > 0) {
         ++it;
         continue;
       }
-      decision.drop.push_back({it->first, Fault::kBetterKnown});
+      decision.to_drop.push_back({it->first, Fault::kSuperseded});
       it = sources_.erase(it);
     }
   }
@@ -135,23 +154,23 @@
 
 void FollowPolicy::DecideWatch(const Situation& situation,
                                Clock::time_point now, Decision& decision) {
-  const auto good = std::ranges::count_if(
-      sources_, [&](const auto& s) { return IsGood(s.second, now); });
-  const bool seeking = now - *started_ < kSeek && good == 0;
-  const auto begin_watch = [&](std::string_view why, bool patient) {
+  const auto delivering = std::ranges::count_if(
+      sources_, [&](const auto& s) { return IsDelivering(s.second, now); });
+  const bool searching = now - *started_ < kRelaySearchTime && delivering == 0;
+  const auto start_watch = [&](std::string_view why, bool slow_retry) {
     decision.watch = true;
-    decision.patient = patient;
+    decision.slow_retry = slow_retry;
     decision.why = why;
   };
-  if (seeking) {
+  if (searching) {
     decision.why = "seeks_relays";
-  } else if (situation.is_relay && now - *started_ >= kSeek) {
-    begin_watch("relay", false);
-  } else if (good == 0) {
-    begin_watch("no_relay", false);
-  } else if (StoreAge(situation.store_heard, now) >
-             situation.watch_wait + kOverdue) {
-    begin_watch("store_not_heard", true);
+  } else if (situation.is_relay && now - *started_ >= kRelaySearchTime) {
+    start_watch("relay", false);
+  } else if (delivering == 0) {
+    start_watch("no_relay", false);
+  } else if (StoreAge(situation.store_answered_at, now) >
+             situation.watch_wait + kStoreAnswerMargin) {
+    start_watch("store_not_heard", true);
   } else {
     decision.why = "follows_relays";
   }
@@ -164,21 +183,22 @@
   return names;
 }
 
-milliseconds FollowPolicy::OthersStoreAge(Clock::time_point now) const {
+milliseconds FollowPolicy::RelayedStoreAge(Clock::time_point now) const {
   auto age = milliseconds::max();
   for (const auto& [name, source] : sources_) {
-    if (!IsGood(source, now)) continue;
+    if (!IsDelivering(source, now)) continue;
     const auto since =
-        std::chrono::duration_cast<milliseconds>(now - *source.heard);
+        std::chrono::duration_cast<milliseconds>(now - *source.last_status_at);
     age = std::min(age, source.store_age + since);
   }
   return age;
 }
 
-milliseconds FollowPolicy::StoreAge(Clock::time_point store_heard,
+milliseconds FollowPolicy::StoreAge(Clock::time_point store_answered_at,
                                     Clock::time_point now) const {
-  const auto own = std::chrono::duration_cast<milliseconds>(now - store_heard);
-  return std::min(own, OthersStoreAge(now));
+  const auto own =
+      std::chrono::duration_cast<milliseconds>(now - store_answered_at);
+  return std::min(own, RelayedStoreAge(now));
 }
 
 std::string_view FaultName(FollowPolicy::Fault fault) {
--- a/libs/entry/src/instance_directory.cc
+++ b/libs/entry/src/instance_directory.cc
@@ -11,18 +11,24 @@
 
 namespace {
 
-/** Pause before entering again after the store did not answer. */
-constexpr milliseconds kEnterAgain{1000};
-/** An instance that no longer stands in the list enters itself again within
- * this, at a time of its own: with a store that came back from an older copy,
- * all of a fleet do. */
-constexpr milliseconds kEnterAgainWithin{2000};
-/** Reads while a fleet is starting, in this distance; its instances enter
- * within a second of each other. */
-constexpr milliseconds kEarlyRead{1500};
-constexpr int kEarlyReads = 4;
-/** Later reads; a stale one costs a tenth of a call. */
-constexpr milliseconds kLateRead{10000};
+/**
+ * Delay before the next read and attempt to register after a failed attempt.
+ */
+constexpr milliseconds kRegisterRetryDelay{1000};
+/**
+ * Upper bound of the random delay before an instance that is missing from the
+ * list registers again: all instances of a fleet are missing after the store
+ * was restored from an older copy, and would otherwise write at the same time.
+ */
+constexpr milliseconds kMaxRegisterDelay{2000};
+/**
+ * Interval and number of reads while a fleet is starting; its instances
+ * register within a second of each other.
+ */
+constexpr milliseconds kEarlyReadInterval{1500};
+constexpr int kEarlyReadCount = 4;
+/** Interval of later reads; a stale read costs a tenth of a call. */
+constexpr milliseconds kLateReadInterval{10000};
 
 constexpr auto kAddressField = "peer_address";
 constexpr auto kZoneField = "zone";
@@ -39,45 +45,47 @@
       name_(std::move(name)),
       info_(std::move(info)),
       on_change_(std::move(on_change)) {
-  next_.setSingleShot(true);
-  enter_.setSingleShot(true);
-  connect(&enter_, &QTimer::timeout, this, [this] { Enter(); });
-  connect(&next_, &QTimer::timeout, this, [this] { Read(); });
+  read_timer_.setSingleShot(true);
+  register_timer_.setSingleShot(true);
+  connect(&register_timer_, &QTimer::timeout, this, [this] { Register(); });
+  connect(&read_timer_, &QTimer::timeout, this, [this] { Read(); });
 }
 
 void InstanceDirectory::Start() { Read(); }
 
-void InstanceDirectory::EnterLater() {
-  if (enter_.isActive()) return;
+void InstanceDirectory::RegisterLater() {
+  if (register_timer_.isActive()) return;
   utils::DecisionLog("instance_not_listed");
   static std::minstd_rand engine{std::random_device{}()};
-  std::uniform_int_distribution<int64_t> pause(0, kEnterAgainWithin.count());
-  enter_.start(milliseconds(pause(engine)));
+  std::uniform_int_distribution<int64_t> delay(0, kMaxRegisterDelay.count());
+  register_timer_.start(milliseconds(delay(engine)));
 }
 
-void InstanceDirectory::Enter() {
+void InstanceDirectory::Register() {
   const QJsonObject spec{{kAddressField, QString::fromStdString(info_.address)},
                          {kZoneField, QString::fromStdString(info_.zone)},
                          {kCpuShareField, info_.cpu_share}};
   source_.Put(kind_, name_, spec, [this](const auto& written) {
     if (written) {
-      entered_ = true;
+      registered_ = true;
       return;
     }
     utils::DecisionLog("instance_not_entered")
         .Add("why", written.error().detail);
-    next_.start(kEnterAgain);
+    read_timer_.start(kRegisterRetryDelay);
   });
 }
 
 void InstanceDirectory::Read() {
   source_.List(kind_, store::ObjectSource::Freshness::kMayBeStale,
                [this](const auto& batch) {
-                 next_.start(++reads_ <= kEarlyReads ? kEarlyRead : kLateRead);
+                 read_timer_.start(++reads_ <= kEarlyReadCount
+                                       ? kEarlyReadInterval
+                                       : kLateReadInterval);
                  if (batch) return OnRead(batch.value().objects);
                  utils::DecisionLog("instances_not_read")
                      .Add("why", batch.error().detail);
-                 if (!entered_) Enter();
+                 if (!registered_) Register();
                });
 }
 
@@ -97,15 +105,15 @@
         .zone = object.spec[kZoneField].toString().toStdString(),
         .cpu_share = object.spec[kCpuShareField].toDouble()};
   }
-  // An instance that has restarted stands in the list as it is; writing the
-  // same again would cost two calls for each restart of a fleet.
+  // A restarted instance is usually listed with the same entry. Writing it
+  // again would cost two calls for each instance when a fleet restarts.
   const auto own = instances.find(name_);
-  const bool stands = own != instances.end() && own->second == info_;
-  if (!stands && entered_) EnterLater();
-  if (stands) entered_ = true;
-  if (!entered_ && !enter_.isActive()) Enter();
+  const bool is_listed = own != instances.end() && own->second == info_;
+  if (!is_listed && registered_) RegisterLater();
+  if (is_listed) registered_ = true;
+  if (!registered_ && !register_timer_.isActive()) Register();
   instances[name_] = info_;
-  on_change_(instances, stands);
+  on_change_(instances, is_listed);
 }
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/instance_links.cc
+++ b/libs/entry/src/instance_links.cc
@@ -15,26 +15,32 @@
 
 namespace {
 
-/** Enough to tell two starts of one instance apart. */
-constexpr size_t kIdentityDigits = 8;
-/** An instance that was not reached is tried again after this, doubled with
- * each further time. One that restarts is back within a second. */
-constexpr milliseconds kFirstRetry{250};
-constexpr milliseconds kLongestRetry{3000};
-constexpr int kMostDoublings = 4;
-/** How often instances that are down are looked at. */
-constexpr milliseconds kRetryCheck{100};
-/** Only an instance that something was for within this is tried again. */
-constexpr milliseconds kMissedLately{10000};
+/** Enough to distinguish the incarnations of one instance. */
+constexpr size_t kIncarnationDigits = 8;
+/**
+ * Delay before a new attempt to connect to an unreachable instance, doubled
+ * with each further failure. A restarting instance accepts connections within a
+ * second.
+ */
+constexpr milliseconds kMinRetryDelay{250};
+constexpr milliseconds kMaxRetryDelay{3000};
+constexpr int kMaxDoublings = 4;
+/** Interval at which unreachable instances are checked for a due attempt. */
+constexpr milliseconds kRetryCheckInterval{100};
+/**
+ * Only an instance that would have been an owner within this time is retried.
+ */
+constexpr milliseconds kWantedWindow{10000};
 
 }  // namespace
 
 InstanceLinks::InstanceLinks(EntryContext& context)
     : context_(context),
       identity_(context.settings.name + "#" +
-                utils::RandomHex(kIdentityDigits)) {
-  retry_.setInterval(kRetryCheck);
-  connect(&retry_, &QTimer::timeout, this, [this] { RetryDown(); });
+                utils::RandomHex(kIncarnationDigits)) {
+  retry_timer_.setInterval(kRetryCheckInterval);
+  connect(&retry_timer_, &QTimer::timeout, this,
+          [this] { RetryUnreachable(); });
 }
 
 void InstanceLinks::SetInstances(const Instances& fleet, bool listed) {
@@ -43,7 +49,7 @@
     const bool is_new = !instances_.contains(name);
     Instance& instance = instances_[name];
     instance.address = info.address;
-    // A first connection tells the other that we are here (again).
+    // The first connection tells the peer instance that this one has started.
     if (is_new) Connect(name, instance).outgoing();
   }
   context_.retries.NoteList(
@@ -57,32 +63,32 @@
 
 bool InstanceLinks::ReachesMost() const {
   const auto reached = std::ranges::count_if(
-      instances_, [](const auto& entry) { return !entry.second.down; });
+      instances_, [](const auto& entry) { return !entry.second.unreachable; });
   return 2 * static_cast<size_t>(reached) >= instances_.size();
 }
 
 std::optional<std::string> InstanceLinks::OwnerOf(const std::string& key) {
   const auto now = Clock::now();
   const std::string* owner = nullptr;
-  Instance* first_down = nullptr;
+  Instance* first_unreachable = nullptr;
   uint64_t best =
       leaving_ ? 0 : routing::RendezvousWeight(key, context_.settings.name);
-  uint64_t best_down = best;
+  uint64_t best_unreachable = best;
   for (auto& [name, instance] : instances_) {
     if (instance.leaving) continue;
     const uint64_t weight = routing::RendezvousWeight(key, name);
-    if (instance.down) {
-      if (weight <= best_down) continue;
-      first_down = &instance;
-      best_down = weight;
+    if (instance.unreachable) {
+      if (weight <= best_unreachable) continue;
+      first_unreachable = &instance;
+      best_unreachable = weight;
     } else if (weight > best) {
       owner = &name;
       best = weight;
     }
   }
-  if (first_down != nullptr && best_down > best) {
-    first_down->missed = now;
-    if (!retry_.isActive()) retry_.start();
+  if (first_unreachable != nullptr && best_unreachable > best) {
+    first_unreachable->wanted_at = now;
+    if (!retry_timer_.isActive()) retry_timer_.start();
   }
   if (owner == nullptr) return std::nullopt;
   return *owner;
@@ -107,20 +113,24 @@
            [this, name](peer::Frame&& frame) {
              OnFrame(name, std::move(frame));
            },
-       .on_flush = [this](peer::Frame& frame) { context_.news.Tell(frame); },
+       .on_flush =
+           [this](peer::Frame& frame) {
+             context_.revision_gossip.AddTo(frame);
+           },
        .on_end = [this, name](std::string_view why) { OnEnd(name, why); }},
       this);
-  // Guard: a first frame takes back what was said on an earlier link. Silent
-  // on this one, an instance that leaves would be handed pieces again.
+  // The first frame on a new connection replaces the state announced on an
+  // earlier one. Without the flag, peer instances would send pieces to this
+  // instance again while it is stopping.
   if (leaving_) instance.link->outgoing().leaving = true;
   if (events_.on_connect) events_.on_connect(instance.link->outgoing());
   return *instance.link;
 }
 
-void InstanceLinks::TellAll(const std::function<void(peer::Frame&)>& add) {
+void InstanceLinks::Broadcast(const std::function<void(peer::Frame&)>& add) {
   for (auto& [name, instance] : instances_) {
-    // One that is down is told with its next connection.
-    if (!instance.down) add(Connect(name, instance).outgoing());
+    // An unreachable instance is notified on its next connection.
+    if (!instance.unreachable) add(Connect(name, instance).outgoing());
   }
 }
 
@@ -131,67 +141,68 @@
 
 void InstanceLinks::OnFrame(const std::string& name, peer::Frame&& frame) {
   Instance& instance = instances_[name];
-  instance.down = false;
+  instance.unreachable = false;
   instance.failures = 0;
   instance.leaving = frame.leaving || instance.leaving;
-  context_.news.Hear(frame, Clock::now());
+  context_.revision_gossip.ReadFrom(frame, Clock::now());
   events_.on_frame(name, std::move(frame));
 }
 
-void InstanceLinks::NoteDown(Instance& instance) {
-  instance.down = true;
-  const int doublings = std::min(instance.failures++, kMostDoublings);
-  instance.retry_at =
-      Clock::now() + std::min(kFirstRetry * (1 << doublings), kLongestRetry);
-  if (!retry_.isActive()) retry_.start();
+void InstanceLinks::MarkUnreachable(Instance& instance) {
+  instance.unreachable = true;
+  const int doublings = std::min(instance.failures++, kMaxDoublings);
+  instance.retry_at = Clock::now() + std::min(kMinRetryDelay * (1 << doublings),
+                                              kMaxRetryDelay);
+  if (!retry_timer_.isActive()) retry_timer_.start();
 }
 
 void InstanceLinks::OnEnd(const std::string& name, std::string_view why) {
   Instance& instance = instances_[name];
-  // Guard: a reset of a connection says nothing of the instance behind it.
-  // Taken as its loss, its pieces would be made twice, and for seconds two
-  // owners would fill half calls each. It is tried once more.
-  const bool again_there = instance.link->heard() && !instance.link->silent();
+  // A connection reset does not mean that the instance has failed. If it were
+  // marked as unreachable, its pieces would be run twice, and for seconds two
+  // owners would each form half-filled calls. The instance is connected to
+  // again instead.
+  const bool was_reset = instance.link->heard() && !instance.link->silent();
   std::exchange(instance.link, nullptr)->deleteLater();
   instance.leaving = false;
-  if (!again_there) NoteDown(instance);
+  if (!was_reset) MarkUnreachable(instance);
   utils::DecisionLog("peer_lost")
       .Add("peer", name)
       .Add("why", why)
-      .Add("tried_again", again_there);
-  events_.on_lost(name, again_there);
+      .Add("tried_again", was_reset);
+  events_.on_lost(name, was_reset);
 }
 
-void InstanceLinks::GiveUp(const std::string& name) {
+void InstanceLinks::CloseUnresponsive(const std::string& name) {
   const auto it = instances_.find(name);
   if (it == instances_.end() || it->second.link == nullptr) return;
   it->second.link->Close();
   std::exchange(it->second.link, nullptr)->deleteLater();
-  NoteDown(it->second);
+  MarkUnreachable(it->second);
   events_.on_lost(name, false);
 }
 
-// Guard: an instance that was not reached is greeted before it is given work
-// again. With the work itself sent to try it, each try at one that is gone
-// would hold up requests for as long as a connection takes to fail.
-void InstanceLinks::RetryDown() {
+// An unreachable instance must respond to a greeting before it owns anything
+// again. If work itself were sent as a probe, each attempt at an instance that
+// has exited would delay requests until the connection attempt fails.
+void InstanceLinks::RetryUnreachable() {
   const auto now = Clock::now();
-  bool any_missed = false;
-  for (auto& [name, instance] : instances_) {
-    if (!instance.down || now - instance.missed > kMissedLately) continue;
-    any_missed = true;
-    if (instance.link != nullptr || now < instance.retry_at) continue;
-    Connect(name, instance).Greet();
+  bool any_wanted = false;
+  for (auto& [name, other] : instances_) {
+    if (!other.unreachable || now - other.wanted_at > kWantedWindow) continue;
+    any_wanted = true;
+    if (other.link != nullptr || now < other.retry_at) continue;
+    Connect(name, other).Greet();
   }
-  if (!any_missed) retry_.stop();
+  if (!any_wanted) retry_timer_.stop();
 }
 
-void InstanceLinks::OnSeen(const std::string& name, Presence presence) {
+void InstanceLinks::OnPresence(const std::string& name, Presence presence) {
   const auto it = instances_.find(name);
   if (it == instances_.end()) return;
   it->second.leaving = presence == Presence::kLeaving;
-  if (presence != Presence::kHere) return;
-  it->second.down = false;
+  if (presence != Presence::kConnected) return;
+  it->second.unreachable = false;
   it->second.failures = 0;
 }
 
--- a/libs/entry/src/piece_host.cc
+++ b/libs/entry/src/piece_host.cc
@@ -51,7 +51,7 @@
 };
 
 PieceHost::PieceHost(StageDispatcher& local, PlacementDesk& desk,
-                     StoreNews& news, SeenCallback on_seen)
+                     RevisionGossip& news, SeenCallback on_seen)
     : local_(local), desk_(desk), news_(news), on_seen_(std::move(on_seen)) {
   drop_absent_.setInterval(kAbsentFor);
   connect(&drop_absent_, &QTimer::timeout, this, [this] { DropAbsent(); });
@@ -77,7 +77,7 @@
        .on_flush =
            [this](peer::Frame& frame) {
              AddBacklogs(frame);
-             news_.Tell(frame);
+             news_.AddTo(frame);
            },
        .on_end = [this, self](std::string_view) { OnLost(*self); }},
       this);
@@ -112,11 +112,11 @@
   const std::string identity =
       frame.sender.empty() ? identity_of_[link] : frame.sender;
   if (identity.empty()) return;
-  news_.Hear(frame, Clock::now());
+  news_.ReadFrom(frame, Clock::now());
   Guest& guest = GuestOf(link, identity);
   if (!frame.sender.empty() || frame.leaving) {
     on_seen_(NameOf(identity),
-             frame.leaving ? Presence::kLeaving : Presence::kHere);
+             frame.leaving ? Presence::kLeaving : Presence::kConnected);
   }
   if (frame.follow && on_follow_) on_follow_(identity, *frame.follow);
   if (on_frame_) on_frame_(identity, frame);
@@ -219,7 +219,7 @@
   if (it == guests_.end() || it->second->link != link) return;
   it->second->link = nullptr;
   it->second->absent_since = Clock::now();
-  on_seen_(NameOf(identity), Presence::kGone);
+  on_seen_(NameOf(identity), Presence::kDisconnected);
 }
 
 peer::Frame* PieceHost::FrameTo(const std::string& identity) {
--- a/libs/entry/src/placement_desk.cc
+++ b/libs/entry/src/placement_desk.cc
@@ -70,7 +70,7 @@
   const UpstreamPtr engine = book->second.End(end.ticket);
   if (!engine || guest.empty() || !end.outcome) return;
   // The latency is not known here, and engines are not chosen by it.
-  context_.Note(*engine, *end.outcome, engine->latency_ms);
+  context_.RecordOutcome(*engine, *end.outcome, engine->latency_ms);
 }
 
 void PlacementDesk::Forget(const std::string& guest) { books_.erase(guest); }
--- a/libs/entry/src/repeat_credit.cc
+++ b/libs/entry/src/repeat_credit.cc
@@ -10,7 +10,7 @@
                  std::string_view request, int repeats) {
   const auto now = routing::Clock::now();
   const bool taken = context.retries.TrySpend(service, now, repeats);
-  if (!taken) context.metrics->OnRepeatRefused(service);
+  if (!taken) context.metrics->OnRetryRefused(service);
   utils::DecisionLog(taken ? "repeat_taken" : "repeat_refused")
       .Add("request", request)
       .Add("service", service)
--- a/libs/entry/src/request_admission.cc
+++ b/libs/entry/src/request_admission.cc
@@ -32,7 +32,7 @@
   if (!state.since_stop) return true;
   const bool is_long =
       route.kind == RequestKind::kStream || !route.stages.empty();
-  return TakesWhileStopping(is_long, *state.since_stop, state.stop_grace);
+  return AcceptsWhileStopping(is_long, *state.since_stop, state.stop_grace);
 }
 
 }  // namespace
--- a/libs/entry/src/request_run.cc
+++ b/libs/entry/src/request_run.cc
@@ -111,7 +111,7 @@
   table_ = context_.table;
   AdmissionState state{.table = table_.get(),
                        .upstreams_known = context_.upstreams_known,
-                       .store_away = context_.store_away,
+                       .store_away = context_.store_unreachable,
                        .since_stop = {},
                        .stop_grace = context_.settings.stop_grace};
   if (context_.stopping_since) {
@@ -133,7 +133,8 @@
   if (admission_.refusal == AdmissionRefusal::kNone) {
     if (RefusedAsHarmful()) return false;
     if (!context_.Uses(Mechanism::kUsualDeadlines)) return true;
-    time_used_ = context_.usual_deadlines.Used(route_->name, request_.deadline);
+    time_used_ =
+        context_.usual_deadlines.TimeUsed(route_->name, request_.deadline);
     return true;
   }
   const RefusalAnswer answer = AnswerTo(admission_.refusal);
@@ -147,7 +148,7 @@
 
 void RequestRun::CheckConfig() {
   const QPointer<RequestRun> self(this);
-  context_.config_check->Ask([self](bool is_latest) {
+  context_.config_check->Confirm([self](bool is_latest) {
     if (!self || self->finished_) return;
     self->by_latest_config_ = is_latest;
     self->Start();
@@ -468,7 +469,7 @@
 }
 
 void RequestRun::SendAgain() {
-  context_.metrics->OnRepeat(service_);
+  context_.metrics->OnRetry(service_);
   if (!stages_->inputs_released() && !stages_->inputs_lost()) {
     return SendToUpstream();
   }
--- a/libs/entry/src/revision_gossip.cc
+++ b/libs/entry/src/revision_gossip.cc
@@ -9,41 +9,52 @@
 
 namespace {
 
-/** Wait of a watch without news of others: a watch that is lost with a silent
- * store is noticed by its end, and a change must be in force within five
- * seconds of the store's return. */
-constexpr milliseconds kAlone{3000};
-/** With others, some watch of the fleet ends so often on average, and its
- * instance tells the others: well within the second or two in which a change
- * must be in force. */
-constexpr milliseconds kFleetInterval{250};
-/** Few instances wait at the store, so a longer wait would save few calls; the
- * end of each tells their followers that the store is still heard. */
-constexpr milliseconds kLongest{5000};
-/** Silence of the others after which their news cannot be relied on. */
-constexpr milliseconds kHeardLately{2000};
+/**
+ * Wait of a watch without frames from peer instances: a watch that is lost
+ * because the store stops responding is detected when its wait ends, and a
+ * change must be in force within five seconds of the store's return.
+ */
+constexpr milliseconds kDefaultWait{3000};
+/**
+ * With peer instances, the average interval at which some watch of the fleet
+ * ends and its instance sends the new revisions to the others: well within the
+ * second or two in which a change must be in force.
+ */
+constexpr milliseconds kFleetWatchInterval{250};
+/**
+ * Few instances watch the store, so a longer wait would save few calls; the end
+ * of each watch confirms to followers that the store still answers.
+ */
+constexpr milliseconds kMaxWait{5000};
+/**
+ * Time without frames after which revisions from peer instances cannot be
+ * relied on.
+ */
+constexpr milliseconds kPeerTimeout{2000};
 
 }  // namespace
 
-void StoreNews::Connect(std::function<Seen()> own,
-                        std::function<void(const Seen&)> on_heard) {
+void RevisionGossip::Connect(
+    std::function<Revisions()> own,
+    std::function<void(const Revisions&)> on_received) {
   own_ = std::move(own);
-  on_heard_ = std::move(on_heard);
+  on_received_ = std::move(on_received);
 }
 
-void StoreNews::Tell(peer::Frame& frame) const {
+void RevisionGossip::AddTo(peer::Frame& frame) const {
   if (!own_) return;
   frame.newest_changes = own_();
 }
 
-void StoreNews::Hear(const peer::Frame& frame, Clock::time_point now) {
-  heard_at_ = now;
-  if (on_heard_) on_heard_(frame.newest_changes);
+void RevisionGossip::ReadFrom(const peer::Frame& frame, Clock::time_point now) {
+  received_at_ = now;
+  if (on_received_) on_received_(frame.newest_changes);
 }
 
-milliseconds StoreNews::WatchWait(int instances, Clock::time_point now) const {
-  if (now - heard_at_ > kHeardLately) return kAlone;
-  return std::clamp(kFleetInterval * instances, kAlone, kLongest);
+milliseconds RevisionGossip::WatchWait(int instances,
+                                       Clock::time_point now) const {
+  if (now - received_at_ > kPeerTimeout) return kDefaultWait;
+  return std::clamp(kFleetWatchInterval * instances, kDefaultWait, kMaxWait);
 }
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/stage_dispatcher.cc
+++ b/libs/entry/src/stage_dispatcher.cc
@@ -300,8 +300,8 @@
 void StageDispatcher::OnCallDone(PieceCall& call,
                                  std::span<const PieceResult> results,
                                  int batch) {
-  context_.Note(*call.upstream(), Outcome::kAnswered,
-                static_cast<double>(call.age().count()));
+  context_.RecordOutcome(*call.upstream(), Outcome::kAnswered,
+                         static_cast<double>(call.age().count()));
   utils::DecisionLog("stage_call_done")
       .Add("service", call.service())
       .Add("upstream", call.upstream()->entry.id)
@@ -355,7 +355,7 @@
 }
 
 void StageDispatcher::OnCallFailed(PieceCall& call, Outcome outcome) {
-  context_.Note(*call.upstream(), outcome, 0);
+  context_.RecordOutcome(*call.upstream(), outcome, 0);
   Worker& worker = WorkerOf(QueueOf(call.shard()), call.upstream());
   --worker.calls;
   worker.room.Unreserve(call.bytes());
--- a/libs/entry/src/store_relay.cc
+++ b/libs/entry/src/store_relay.cc
@@ -15,20 +15,29 @@
 
 namespace {
 
-/** Objects remembered for a follower that comes from another relay: what a
- * fleet of hundreds of upstreams writes when it starts. */
-constexpr size_t kHistory = 512;
-/** A follower that has not asked again for so long has gone or follows
- * others; it asks every second or two. */
-constexpr milliseconds kForgetAfter{5000};
-/** Most bytes that one batch takes to all followers: a tenth of a second of a
- * small instance's link. More than that, in a series of large configurations,
- * would pile up before the link and reach followers seconds late. */
-constexpr size_t kMostBytes = 256 * 1024;
-/** Content from here on is compressed, bytes. */
-constexpr qsizetype kPackFrom = 512;
-/** Largest content that is unpacked, bytes: larger than the platform takes. */
-constexpr uint32_t kMostUnpacked = 16 * 1024 * 1024;
+/**
+ * Objects kept for a follower that switches from another relay: the number that
+ * a fleet of hundreds of upstreams writes when it starts.
+ */
+constexpr size_t kHistoryObjects = 512;
+/**
+ * A follower that has not renewed its request for this long has exited or
+ * follows other relays; requests are renewed every second or two.
+ */
+constexpr milliseconds kFollowerTimeout{5000};
+/**
+ * Upper bound for one batch to all followers: a tenth of a second on a small
+ * instance's link. With more than that, a series of large configurations would
+ * queue up at the link and reach followers seconds late.
+ */
+constexpr size_t kMaxBatchBytes = 256 * 1024;
+/** Content of at least this size is compressed, bytes. */
+constexpr qsizetype kMinCompressedBytes = 512;
+/**
+ * Largest content that is decompressed, bytes; above the platform's size limit
+ * for objects.
+ */
+constexpr uint32_t kMaxSpecBytes = 16 * 1024 * 1024;
 
 size_t BytesOf(const std::vector<peer::StoreObject>& objects) {
   return std::transform_reduce(
@@ -36,18 +45,24 @@
       [](const peer::StoreObject& o) { return o.name.size() + o.spec.size(); });
 }
 
-/** @return the bytes unpacked; empty if they cannot be. */
-QByteArray Unpack(const std::string& packed) {
+/**
+ * @return the decompressed bytes; empty if the input is invalid or too large.
+ */
+QByteArray Decompress(const std::string& packed) {
   const QByteArray bytes = QByteArray::fromStdString(packed);
-  // The length stands before the content and decides how much is allocated.
+  // The uncompressed length is stored before the content and determines the
+  // size of the allocation.
   constexpr qsizetype kLengthBytes = 4;
   if (bytes.size() < kLengthBytes) return {};
-  if (qFromBigEndian<uint32_t>(bytes.constData()) > kMostUnpacked) return {};
+  if (qFromBigEndian<uint32_t>(bytes.constData()) > kMaxSpecBytes) return {};
   return qUncompress(bytes);
 }
 
-/** What a follower sees as a gap, and reads from the store: for changes that
- * are not remembered or too large to be passed on to all. */
+/**
+ * @return changes without objects that start at their own revision. A follower
+ *     detects a gap and reads the store; used for changes that are no longer
+ *     kept or too large to be sent to all followers.
+ */
 peer::StoreChanges GapAt(StoreKind kind, int64_t revision) {
   return {
       .kind = kind, .follows = revision, .revision = revision, .objects = {}};
@@ -55,10 +70,11 @@
 
 }  // namespace
 
-StoreRelay::StoreRelay(FrameTo frame_to)
-    : frame_to_(std::move(frame_to)),
-      histories_{store::ChangeHistory(kHistory), store::ChangeHistory(kHistory),
-                 store::ChangeHistory(kHistory)} {}
+StoreRelay::StoreRelay(OutgoingFrameCallback outgoing_frame)
+    : outgoing_frame_(std::move(outgoing_frame)),
+      histories_{store::ChangeHistory(kHistoryObjects),
+                 store::ChangeHistory(kHistoryObjects),
+                 store::ChangeHistory(kHistoryObjects)} {}
 
 store::ChangeHistory& StoreRelay::HistoryOf(StoreKind kind) {
   return histories_.at(static_cast<size_t>(kind));
@@ -73,9 +89,9 @@
     return;
   }
   const auto [it, is_new] = followers_.try_emplace(follower);
-  it->second.asked = now;
+  it->second.requested_at = now;
   if (!is_new && !request.resync) return;
-  peer::Frame* frame = frame_to_(follower);
+  peer::Frame* frame = outgoing_frame_(follower);
   if (frame == nullptr) return;
   for (const StoreKind kind : peer::kAllStoreKinds) {
     Resync(*frame, it->second, kind, request.known.Of(kind));
@@ -92,7 +108,7 @@
   const auto changes = history.Since(known);
   const auto objects =
       changes ? ToWire(changes->objects) : std::vector<peer::StoreObject>();
-  if (!changes || BytesOf(objects) > kMostBytes) {
+  if (!changes || BytesOf(objects) > kMaxBatchBytes) {
     frame.store_changes.push_back(GapAt(kind, revision));
     return;
   }
@@ -109,13 +125,12 @@
   } else {
     HistoryOf(kind).BeginAt(batch.revision);
   }
-  const bool says_nothing =
-      batch.objects.empty() && !store::LeadsIntoEra(batch);
-  if (says_nothing || followers_.empty()) return;
+  const bool is_empty = batch.objects.empty() && !store::LeadsIntoEra(batch);
+  if (is_empty || followers_.empty()) return;
   const std::vector<peer::StoreObject> objects = ToWire(batch.objects);
-  const bool too_large = BytesOf(objects) * followers_.size() > kMostBytes;
+  const bool too_large = BytesOf(objects) * followers_.size() > kMaxBatchBytes;
   for (auto& [name, follower] : followers_) {
-    peer::Frame* frame = frame_to_(name);
+    peer::Frame* frame = outgoing_frame_(name);
     if (frame == nullptr) continue;
     int64_t& sent = follower.sent.Of(kind);
     if (too_large) {
@@ -127,22 +142,24 @@
                                       .objects = objects,
                                       .held_before = batch.held_before});
     }
-    // Whether an outage has just ended decides about what is missing.
+    // The follower needs the end of the store's last outage to decide whether
+    // to keep objects that are missing from the changes.
     frame->relay = status;
     sent = batch.revision;
   }
 }
 
-void StoreRelay::Beat(const peer::RelayStatus& status, Clock::time_point now) {
+void StoreRelay::SendHeartbeats(const peer::RelayStatus& status,
+                                Clock::time_point now) {
   std::erase_if(followers_, [now](const auto& entry) {
-    return now - entry.second.asked > kForgetAfter;
+    return now - entry.second.requested_at > kFollowerTimeout;
   });
   for (auto& [name, follower] : followers_) {
-    peer::Frame* frame = frame_to_(name);
+    peer::Frame* frame = outgoing_frame_(name);
     if (frame == nullptr) continue;
     for (const StoreKind kind : peer::kAllStoreKinds) {
-      // The store's revision grows with changes of other kinds, too. Not told,
-      // the next change would look like one after a gap.
+      // The store's revision also grows with changes of other kinds. If it were
+      // not sent, the next change would look as if it followed a gap.
       const int64_t revision = HistoryOf(kind).revision();
       int64_t& sent = follower.sent.Of(kind);
       if (revision <= sent) continue;
@@ -163,7 +180,7 @@
         if (!o.deleted) {
           spec = QJsonDocument(o.spec).toJson(QJsonDocument::Compact);
         }
-        const bool packed = spec.size() >= kPackFrom;
+        const bool packed = spec.size() >= kMinCompressedBytes;
         if (packed) spec = qCompress(spec);
         return peer::StoreObject{.name = o.name,
                                  .spec = spec.toStdString(),
@@ -186,7 +203,7 @@
                                .deleted = o.deleted};
     if (!o.deleted) {
       const QByteArray text =
-          o.packed ? Unpack(o.spec) : QByteArray::fromStdString(o.spec);
+          o.packed ? Decompress(o.spec) : QByteArray::fromStdString(o.spec);
       const QJsonDocument spec = QJsonDocument::fromJson(text);
       if (!spec.isObject()) return std::nullopt;
       object.spec = spec.object();
--- a/libs/entry/src/store_sharing.cc
+++ b/libs/entry/src/store_sharing.cc
@@ -17,24 +17,27 @@
 
 namespace {
 
-/** How often silent relays are looked for. */
-constexpr milliseconds kTick{250};
-/** How often a relay tells its followers that it is at work. */
-constexpr milliseconds kBeat{1000};
-/** How often a follower asks again, so that relays forget those that are
- * gone. */
-constexpr milliseconds kAskAgain{1500};
+/** Interval of checks for relays that no longer respond. */
+constexpr milliseconds kCheckInterval{250};
+/** Interval at which a relay sends its status to followers. */
+constexpr milliseconds kHeartbeatInterval{1000};
+/**
+ * Interval at which a follower renews its requests; relays remove followers
+ * that do not renew theirs.
+ */
+constexpr milliseconds kFollowInterval{1500};
 
 }  // namespace
 
 StoreSharing::StoreSharing(EntryContext& context, InstanceLinks& links,
-                           TopologyFeed& feed, StoreRelay::FrameTo frame_to)
+                           TopologyFeed& feed,
+                           StoreRelay::OutgoingFrameCallback outgoing_frame)
     : context_(context),
       links_(links),
       feed_(feed),
-      relay_(std::move(frame_to)) {
-  tick_.setInterval(kTick);
-  connect(&tick_, &QTimer::timeout, this, [this] { Tick(); });
+      relay_(std::move(outgoing_frame)) {
+  check_timer_.setInterval(kCheckInterval);
+  connect(&check_timer_, &QTimer::timeout, this, [this] { Check(); });
 }
 
 void StoreSharing::Start() {
@@ -42,10 +45,10 @@
     relay_.OnMerged(kind, batch, Status().value_or(peer::RelayStatus{}));
   });
   if (!context_.Uses(config::Mechanism::kStoreRelays)) return;
-  feed_.set_others_store_age(
-      [this] { return policy_.OthersStoreAge(Clock::now()); });
+  feed_.set_relayed_store_age(
+      [this] { return policy_.RelayedStoreAge(Clock::now()); });
   feed_.Watch(false, false);
-  tick_.start();
+  check_timer_.start();
 }
 
 void StoreSharing::SetInstances(const Instances& fleet) {
@@ -54,18 +57,18 @@
   ranked_relay_ = std::ranges::count(relays, context_.settings.name) > 0;
   relay_.set_expects_followers(ranked_relay_);
   feed_.set_watchers(CountRelays(fleet));
-  if (tick_.isActive()) Decide();
+  if (check_timer_.isActive()) Decide();
 }
 
 FollowPolicy::Situation StoreSharing::CurrentSituation() const {
   FollowPolicy::Situation situation{
       .preferred = preferred_,
       .is_relay = ranked_relay_ || relay_.followers() > 0,
-      .store_heard = feed_.store_heard(),
+      .store_answered_at = feed_.store_answered_at(),
       .watch_wait = feed_.watch_wait()};
   if (situation.preferred) {
-    // One that counts as down is asked all the same: only owners of queues and
-    // cells are tried again by themselves.
+    // Instances marked as unreachable stay in the list: InstanceLinks retries
+    // only unreachable owners of queues and cells by itself.
     std::erase_if(*situation.preferred, [this](const std::string& name) {
       return links_.leaving(name);
     });
@@ -73,62 +76,65 @@
   return situation;
 }
 
-void StoreSharing::Tick() {
+void StoreSharing::Check() {
   const auto now = Clock::now();
   Decide();
-  if (now - asked_at_ >= kAskAgain) {
-    asked_at_ = now;
-    for (const std::string& name : policy_.sources()) Ask(name, false);
+  if (now - follow_sent_at_ >= kFollowInterval) {
+    follow_sent_at_ = now;
+    for (const std::string& name : policy_.sources()) SendFollow(name, false);
   }
-  if (now - beat_at_ < kBeat) return;
-  beat_at_ = now;
-  if (const auto status = Status()) relay_.Beat(*status, now);
-  context_.metrics->SetStorePaths(static_cast<int>(relay_.followers()),
-                                  policy_.StoreAge(feed_.store_heard(), now));
+  if (now - heartbeat_sent_at_ < kHeartbeatInterval) return;
+  heartbeat_sent_at_ = now;
+  if (const auto status = Status()) relay_.SendHeartbeats(*status, now);
+  context_.metrics->SetStorePaths(
+      static_cast<int>(relay_.followers()),
+      policy_.StoreAge(feed_.store_answered_at(), now));
 }
 
 void StoreSharing::Decide() {
   const FollowPolicy::Decision decision =
       policy_.Decide(CurrentSituation(), Clock::now());
-  std::ranges::for_each(decision.drop, [this](const auto& d) { Drop(d); });
-  std::ranges::for_each(decision.ask,
-                        [this](const auto& name) { Ask(name, true); });
+  std::ranges::for_each(decision.to_drop,
+                        [this](const auto& d) { Unfollow(d); });
+  std::ranges::for_each(decision.to_follow,
+                        [this](const auto& name) { SendFollow(name, true); });
   SetWatch(decision);
 }
 
 void StoreSharing::SetWatch(const FollowPolicy::Decision& decision) {
-  feed_.Watch(decision.watch, decision.patient);
+  feed_.Watch(decision.watch, decision.slow_retry);
   if (std::exchange(watch_why_, decision.why) == decision.why) return;
   utils::DecisionLog(decision.watch ? "store_watched" : "store_not_watched")
       .Add("why", decision.why)
       .Add("followers", relay_.followers())
       .Add("store_age_ms",
-           policy_.StoreAge(feed_.store_heard(), Clock::now()).count());
+           policy_.StoreAge(feed_.store_answered_at(), Clock::now()).count());
 }
 
-void StoreSharing::Ask(const std::string& name, bool resync) {
+void StoreSharing::SendFollow(const std::string& name, bool resync) {
   peer::PeerLink* link = links_.Open(name);
   if (link == nullptr) return;
   link->outgoing().follow = peer::FollowRequest{
       .wanted = true, .resync = resync, .known = feed_.revisions()};
 }
 
-void StoreSharing::Drop(const FollowPolicy::Dropped& dropped) {
+void StoreSharing::Unfollow(const FollowPolicy::Dropped& dropped) {
   utils::DecisionLog("relay_passed_by")
       .Add("peer", dropped.name)
       .Add("why", FaultName(dropped.why));
   peer::PeerLink* link = links_.Find(dropped.name);
   if (link == nullptr) return;
-  const bool no_sign_of_life = dropped.why == FollowPolicy::Fault::kNoAnswer ||
-                               dropped.why == FollowPolicy::Fault::kSilent;
-  if (no_sign_of_life) return links_.GiveUp(dropped.name);
+  const bool unresponsive = dropped.why == FollowPolicy::Fault::kNoAnswer ||
+                            dropped.why == FollowPolicy::Fault::kSilent;
+  if (unresponsive) return links_.CloseUnresponsive(dropped.name);
   link->outgoing().follow = peer::FollowRequest{.wanted = false};
 }
 
 void StoreSharing::OnFollow(const std::string& follower,
                             const peer::FollowRequest& request) {
   const bool had_followers = relay_.followers() > 0;
-  // Until all was read there is nothing to pass on; who asks finds another.
+  // Before the first full list there is nothing to pass on; the follower times
+  // out and selects another relay.
   const auto status = Status();
   if (!status) return;
   relay_.OnFollow(follower, request, *status, Clock::now());
@@ -137,7 +143,7 @@
 }
 
 void StoreSharing::OnFrame(const std::string& name, const peer::Frame& frame) {
-  if (!policy_.Asks(name)) return;
+  if (!policy_.IsFollowed(name)) return;
   const auto now = Clock::now();
   if (frame.relay && frame.relay->outage_ended) {
     feed_.NoteOutageEnded(now - *frame.relay->outage_ended);
@@ -147,46 +153,46 @@
   }
   if (frame.relay) {
     NoteConfigAge(*frame.relay, now);
-    policy_.OnHeard(name, frame.relay->store_age, IsBehind(*frame.relay), now);
+    policy_.OnStatus(name, frame.relay->store_age, IsBehind(*frame.relay), now);
   }
 }
 
 void StoreSharing::NoteConfigAge(const peer::RelayStatus& status,
                                  Clock::time_point now) {
-  // Guard: changes that are too large to be passed on are told as a gap, and
-  // are not known here yet.
+  // Changes that are too large to be passed on are signalled as a gap and are
+  // not known here yet.
   const bool lacks = status.known.Of(StoreKind::kConfig) >
                      feed_.revisions().Of(StoreKind::kConfig);
   if (lacks || !status.config_age) return;
-  config_relayed_to_ = std::max(config_relayed_to_, now - *status.config_age);
+  relayed_config_at_ = std::max(relayed_config_at_, now - *status.config_age);
 }
 
-StoreSharing::Clock::time_point StoreSharing::config_known_to() const {
-  return std::max(config_relayed_to_, feed_.config_answered());
+StoreSharing::Clock::time_point StoreSharing::config_current_at() const {
+  return std::max(relayed_config_at_, feed_.config_answered_at());
 }
 
 void StoreSharing::OnLost(const std::string& name) {
-  if (!policy_.Asks(name)) return;
-  policy_.OnLost(name, Clock::now());
+  if (!policy_.IsFollowed(name)) return;
+  policy_.OnDisconnected(name, Clock::now());
   Decide();
 }
 
 bool StoreSharing::IsBehind(const peer::RelayStatus& status) const {
-  const StoreNews::Seen newest = feed_.newest();
+  const RevisionGossip::Revisions newest = feed_.newest_revisions();
   return std::ranges::any_of(peer::kAllStoreKinds, [&](StoreKind kind) {
     return status.known.Of(kind) < newest.Of(kind);
   });
 }
 
 std::optional<peer::RelayStatus> StoreSharing::Status() const {
-  if (!feed_.read()) return std::nullopt;
+  if (!feed_.all_synced()) return std::nullopt;
   const auto now = Clock::now();
   peer::RelayStatus status{
-      .store_age = policy_.StoreAge(feed_.store_heard(), now),
+      .store_age = policy_.StoreAge(feed_.store_answered_at(), now),
       .outage_ended = std::nullopt,
       .known = feed_.revisions(),
       .config_age =
-          std::chrono::duration_cast<milliseconds>(now - config_known_to())};
+          std::chrono::duration_cast<milliseconds>(now - config_current_at())};
   if (const auto ended = feed_.outage_ended()) {
     status.outage_ended =
         std::chrono::duration_cast<milliseconds>(now - *ended);
--- a/libs/entry/src/topology_feed.cc
+++ b/libs/entry/src/topology_feed.cc
@@ -21,20 +21,24 @@
 
 namespace {
 
-/** Silence of the store after which entries may have lapsed without their
- * process having gone: a process renews its entry every second or so, and
- * three misses remove it. */
+/**
+ * After an outage of the store of this length, entries may have lapsed although
+ * their processes run: a process renews its entry every second or so, and three
+ * missed renewals remove it.
+ */
 constexpr milliseconds kShortOutage{1000};
-/** How often lapsed entries are looked for. */
+/** Interval of checks for lapsed entries. */
 constexpr milliseconds kExpireInterval{100};
-/** An entry of an older copy whose process has gone lapses by then: after three
- * beats of a second and more. */
-constexpr milliseconds kCopiedEntryLapses{5000};
-/** A watch that is lost is noticed so long after its wait. */
-constexpr milliseconds kLossNoticed{1000};
-/** Wait of a watch that only asks whether there is anything newer. */
-constexpr milliseconds kAnswerAtOnce{1};
-/** Where a change came from, in logs: our own calls. */
+/**
+ * Time within which an entry of an older copy of the store lapses if its
+ * process no longer exists: three missed heartbeats of a second or more.
+ */
+constexpr milliseconds kCopiedEntryLifetime{5000};
+/** Time after the end of its wait in which a lost watch is detected. */
+constexpr milliseconds kLossDetectionTime{1000};
+/** Wait of a watch that only queries for newer changes. */
+constexpr milliseconds kImmediateAnswer{1};
+/** Source of changes in logs: own calls to the store. */
 constexpr auto kStoreSource = "store";
 
 std::string_view NameOf(StoreKind kind) {
@@ -56,21 +60,24 @@
         std::make_unique<store::Reflector>(*link.source, name, EventsOf(kind));
     kinds_[kind].reflector->set_watch_wait([this, kind = kind] {
       const auto wait = watch_wait();
-      // A watch that is lost must be noticed well within the bound.
+      // A lost watch must be detected well within the bound.
       if (kind != StoreKind::kEvacuations) return wait;
-      return std::min(wait, context_.settings.evacuation_bound - kLossNoticed);
+      return std::min(wait,
+                      context_.settings.evacuation_bound - kLossDetectionTime);
     });
   }
-  // That upstreams have left must be known sooner than the rest.
+  // Changes of upstreams are the most urgent, so their reflector detects that
+  // the store is reachable again; after a failure the other two wait for it.
   for (const StoreKind kind : {StoreKind::kConfig, StoreKind::kEvacuations}) {
     Of(kind).reflector->Follow(*Of(StoreKind::kUpstreams).reflector);
   }
-  context_.news.Connect([this] { return newest(); },
-                        [this](const StoreNews::Seen& seen) {
-                          for (auto& [kind, state] : kinds_) {
-                            state.reflector->NoteChangeElsewhere(seen.Of(kind));
-                          }
-                        });
+  context_.revision_gossip.Connect(
+      [this] { return newest_revisions(); },
+      [this](const RevisionGossip::Revisions& peer_revisions) {
+        for (auto& [kind, state] : kinds_) {
+          state.reflector->NoteChangeElsewhere(peer_revisions.Of(kind));
+        }
+      });
   context_.upstreams.set_on_leave([this](const routing::UpstreamPtr& u) {
     context_.client.Forget(u->entry.id);
     context_.prompt_memory.Forget(u->entry.id);
@@ -79,8 +86,8 @@
         .Add("service", u->entry.service)
         .Add("listed", u->listed);
   });
-  expire_.setInterval(kExpireInterval);
-  connect(&expire_, &QTimer::timeout, this, [this] {
+  expire_timer_.setInterval(kExpireInterval);
+  connect(&expire_timer_, &QTimer::timeout, this, [this] {
     context_.upstreams.Expire(Clock::now());
     ApplyEvacuations();
     context_.cold.CheckOwned();
@@ -101,7 +108,7 @@
           },
       .on_reachable =
           [this, kind](bool reachable, const std::string& why) {
-            context_.store_away = !reachable;
+            context_.store_unreachable = !reachable;
             utils::DecisionLog(reachable ? "store_regained" : "store_lost")
                 .Add("watch", NameOf(kind))
                 .Add("why", why);
@@ -110,17 +117,18 @@
 
 milliseconds TopologyFeed::watch_wait() const {
   const bool is_long = context_.Uses(config::Mechanism::kLongWatches);
-  return context_.news.WatchWait(is_long ? watchers_ : 1, Clock::now());
+  return context_.revision_gossip.WatchWait(is_long ? watchers_ : 1,
+                                            Clock::now());
 }
 
 void TopologyFeed::Start() {
   for (auto& [kind, state] : kinds_) state.reflector->Start();
-  expire_.start();
+  expire_timer_.start();
 }
 
-void TopologyFeed::Watch(bool watch, bool patient) {
+void TopologyFeed::Watch(bool watch, bool slow_retry) {
   for (auto& [kind, state] : kinds_) {
-    state.reflector->set_patient(patient);
+    state.reflector->set_patient(slow_retry);
     state.reflector->Rest(!watch);
   }
 }
@@ -134,7 +142,7 @@
         .Add("revision", changes.revision);
     return;
   }
-  Kind& kind = Of(changes.kind);
+  KindState& kind = Of(changes.kind);
   const store::Position before = kind.replica.revision();
   const auto merged = kind.replica.Merge(*batch);
   if (merged.outcome == store::KindReplica::Outcome::kGap) {
@@ -155,11 +163,11 @@
   if (on_merged_) on_merged_(changes.kind, *batch);
 }
 
-void TopologyFeed::AskForConfig(std::function<void(bool)> done) {
-  Kind& kind = Of(StoreKind::kConfig);
+void TopologyFeed::FetchConfig(std::function<void(bool)> done) {
+  KindState& kind = Of(StoreKind::kConfig);
   const store::Position known = kind.replica.revision();
   link_.source->Watch(
-      link_.config_kind, known, kAnswerAtOnce,
+      link_.config_kind, known, kImmediateAnswer,
       [this, known, done = std::move(done)](const auto& answer) {
         if (!answer) return done(false);
         const SourceBatch& batch = answer.value();
@@ -168,7 +176,7 @@
                    .revision = std::max(known, batch.revision),
                    .objects = batch.objects},
                   milliseconds(0));
-        Kind& config = Of(StoreKind::kConfig);
+        KindState& config = Of(StoreKind::kConfig);
         config.reflector->AdvanceTo(config.replica.revision());
         done(true);
       });
@@ -178,7 +186,7 @@
   if (!outage_ended_ || *outage_ended_ < at) outage_ended_ = at;
 }
 
-TopologyFeed::Clock::time_point TopologyFeed::store_heard() const {
+TopologyFeed::Clock::time_point TopologyFeed::store_answered_at() const {
   auto oldest = Clock::time_point::max();
   for (const auto& [kind, state] : kinds_) {
     oldest = std::min(oldest, state.reflector->heard_at());
@@ -194,15 +202,15 @@
   return known;
 }
 
-StoreNews::Seen TopologyFeed::newest() const {
-  StoreNews::Seen newest;
+RevisionGossip::Revisions TopologyFeed::newest_revisions() const {
+  RevisionGossip::Revisions newest;
   for (const auto& [kind, state] : kinds_) {
     newest.Of(kind) = state.replica.newest_change();
   }
   return newest;
 }
 
-bool TopologyFeed::read() const {
+bool TopologyFeed::all_synced() const {
   return std::ranges::all_of(
       kinds_, [](const auto& kind) { return kind.second.replica.synced(); });
 }
@@ -224,7 +232,8 @@
   const bool is_first = !replica.synced();
   const store::Position before = replica.revision();
   const auto changes = replica.MergeList(list);
-  // A list that is older than what others have passed on says nothing new.
+  // A list that is older than the changes from other instances contains nothing
+  // new.
   if (!changes) return;
   const bool from_copy =
       !is_first && NoteEra(kind, before, replica.revision(), kStoreSource);
@@ -256,37 +265,39 @@
       .Add("revision", store::RevisionOf(after))
       .Add("era_before", store::EraOf(before))
       .Add("revision_before", store::RevisionOf(before));
-  // What the copy lacks may have been written since: its entries have lapsed.
+  // Entries that the copy lacks may have been written after it was made; they
+  // are treated as after an outage.
   NoteOutageEnded(Clock::now());
   if (on_new_era_) on_new_era_();
   return true;
 }
 
-// While others have heard the store, only we were without it: its entries have
-// not lapsed, and what is missing is gone.
+// If a followed relay has received answers from the store, only this instance
+// was cut off: no entries have lapsed, and missing ones were really removed.
 milliseconds TopologyFeed::NoteOutage(milliseconds outage) {
-  if (others_store_age_) outage = std::min(outage, others_store_age_());
+  if (relayed_store_age_) outage = std::min(outage, relayed_store_age_());
   if (outage > kShortOutage) NoteOutageEnded(Clock::now());
   return outage;
 }
 
-void TopologyFeed::Apply(StoreKind kind, std::span<const SourceObject> news,
+void TopologyFeed::Apply(StoreKind kind,
+                         std::span<const SourceObject> changed_objects,
                          const std::string& source, bool from_copy) {
-  if (news.empty()) return;
+  if (changed_objects.empty()) return;
   if (kind == StoreKind::kConfig) {
-    std::ranges::for_each(news,
+    std::ranges::for_each(changed_objects,
                           [&](const SourceObject& o) { OnConfig(o, source); });
     return;
   }
   if (kind == StoreKind::kEvacuations) {
-    std::ranges::for_each(news, [&](const SourceObject& o) {
+    std::ranges::for_each(changed_objects, [&](const SourceObject& o) {
       OnEvacuation(o, source, from_copy);
     });
     return ApplyEvacuations();
   }
-  const auto keep_till = KeepTill();
-  std::ranges::for_each(news, [&](const SourceObject& o) {
-    OnUpstreamChange(o, keep_till, from_copy);
+  const auto keep_until = KeepUntil();
+  std::ranges::for_each(changed_objects, [&](const SourceObject& o) {
+    OnUpstreamChange(o, keep_until, from_copy);
   });
   context_.upstreams.Expire(Clock::now());
 }
@@ -320,10 +331,10 @@
       .Add("source", source)
       .Add("from_copy", from_copy);
   if (!object.deleted) return evacuations_.Begin(object.name);
-  // Guard: a copy of the store may lack an evacuation that is still wanted and
-  // is being written again.
+  // A restored copy of the store may lack an evacuation that is still wanted
+  // and is being written again.
   const auto now = Clock::now();
-  evacuations_.End(object.name, from_copy ? now + kCopiedEntryLapses : now);
+  evacuations_.End(object.name, from_copy ? now + kCopiedEntryLifetime : now);
 }
 
 void TopologyFeed::ApplyEvacuations() {
@@ -339,7 +350,8 @@
   }
   for (const std::string& zone : before) {
     if (evacuated.contains(zone)) continue;
-    // Nothing was read there meanwhile, and its processes may be new.
+    // No prompts were sent to these upstreams during the evacuation, and their
+    // processes may have restarted.
     for (const auto& u : context_.upstreams.InZone(zone)) {
       context_.prompt_memory.Forget(u->entry.id);
       u->latency_ms = routing::Upstream().latency_ms;
@@ -354,10 +366,11 @@
   context_.metrics->SetEvacuated(upstreams);
 }
 
-TopologyFeed::Clock::time_point TopologyFeed::KeepTill() const {
-  // Guard: entries lapse while the store is away, though their processes
-  // live; taken as gone at once, a whole service would have no upstream when
-  // the store returns. They are back within the grace, or gone.
+TopologyFeed::Clock::time_point TopologyFeed::KeepUntil() const {
+  // Entries lapse during an outage of the store although their processes run.
+  // If they were removed at once, a whole service could be without upstreams
+  // when the store returns. Processes that run renew their entries within the
+  // grace period.
   const auto now = Clock::now();
   if (!outage_ended_) return now;
   return std::max(now, *outage_ended_ + context_.settings.lapsed_grace);
@@ -367,12 +380,12 @@
                                   milliseconds outage, bool from_copy) {
   std::vector<routing::UpstreamEntry> entries;
   for (const SourceObject& object : objects) {
-    auto entry = ReadEntry(object);
+    auto entry = DecodeEntry(object);
     if (entry) entries.push_back(std::move(*entry));
   }
-  std::optional<Clock::time_point> copy_till;
-  if (from_copy) copy_till = Clock::now() + kCopiedEntryLapses;
-  context_.upstreams.ReplaceAll(entries, KeepTill(), copy_till);
+  std::optional<Clock::time_point> copy_until;
+  if (from_copy) copy_until = Clock::now() + kCopiedEntryLifetime;
+  context_.upstreams.ReplaceAll(entries, KeepUntil(), copy_until);
   for (const auto& entry : entries) NoteCold(entry.id);
   context_.upstreams.Expire(Clock::now());
   context_.upstreams_known = true;
@@ -383,13 +396,13 @@
 }
 
 void TopologyFeed::OnUpstreamChange(const SourceObject& object,
-                                    Clock::time_point keep_till,
+                                    Clock::time_point keep_until,
                                     bool from_copy) {
-  if (object.deleted) return context_.upstreams.Remove(object.name, keep_till);
-  const auto entry = ReadEntry(object);
+  if (object.deleted) return context_.upstreams.Remove(object.name, keep_until);
+  const auto entry = DecodeEntry(object);
   if (entry && from_copy) {
     return context_.upstreams.PutFromCopy(*entry,
-                                          Clock::now() + kCopiedEntryLapses);
+                                          Clock::now() + kCopiedEntryLifetime);
   }
   if (entry) {
     context_.upstreams.Put(*entry);
@@ -405,9 +418,9 @@
       std::max(found->cold_till, Clock::now() + found->entry.cold_left);
 }
 
-// Another writer may have written the entry: it names no upstream, and one
-// that was known by that name is used no longer.
-std::optional<routing::UpstreamEntry> TopologyFeed::ReadEntry(
+// An entry may come from another writer. If it cannot be decoded, it defines no
+// upstream, and a known upstream of that name is removed.
+std::optional<routing::UpstreamEntry> TopologyFeed::DecodeEntry(
     const SourceObject& object) {
   auto entry = link_.decode_upstream(object.name, object.spec);
   if (!entry) {
--- a/libs/entry/src/upstream_send.cc
+++ b/libs/entry/src/upstream_send.cc
@@ -99,7 +99,7 @@
   const double ms =
       std::chrono::duration<double, std::milli>(Clock::now() - sent_at_)
           .count();
-  context_.Note(*spec_.upstream, outcome, ms);
+  context_.RecordOutcome(*spec_.upstream, outcome, ms);
   if (spec_.placement) spec_.placement->set_outcome(outcome);
   spec_.placement.reset();
   exchange_.reset();
--- a/libs/entry/src/usual_deadlines.cc
+++ b/libs/entry/src/usual_deadlines.cc
@@ -8,38 +8,48 @@
 
 namespace {
 
-/** Requests of a route that what is usual is taken from: enough for a median,
- * few enough that changed deadlines are soon the usual ones. */
-constexpr size_t kRemembered = 32;
-/** Routes remembered, a few times as many as large configurations have. */
-constexpr size_t kMostRoutes = 10000;
-/** Fewer say nothing. */
-constexpr size_t kLeast = 8;
-/** Differences up to this are the callers' own delays, not a return: a refused
- * caller has waited for the refusal and then pauses. */
+/**
+ * Number of requests of a route from which the usual deadline is derived:
+ * enough for a median, few enough that changed deadlines soon become the usual
+ * ones.
+ */
+constexpr size_t kMaxSamples = 32;
+/**
+ * Maximum number of routes in memory, a few times as many as large
+ * configurations have.
+ */
+constexpr size_t kMaxRoutes = 10000;
+/** With fewer samples no usual deadline is derived. */
+constexpr size_t kMinSamples = 8;
+/**
+ * Differences up to this are delays of callers and do not indicate a retry: a
+ * refused caller has waited for the refusal and then pauses.
+ */
 constexpr milliseconds kJitter{100};
 
 }  // namespace
 
-milliseconds UsualDeadlines::Used(const std::string& route,
-                                  std::optional<milliseconds> stated) {
+milliseconds UsualDeadlines::TimeUsed(const std::string& route,
+                                      std::optional<milliseconds> stated) {
   if (!stated) return milliseconds(0);
-  // Routes come and go with the configuration; what is remembered is bounded.
-  if (by_route_.size() > kMostRoutes) by_route_.clear();
-  Stated& known = by_route_[route];
-  if (known.last.size() < kRemembered) {
-    known.last.push_back(*stated);
+  // Routes are added and removed by configurations, so the number in memory is
+  // bounded.
+  if (by_route_.size() > kMaxRoutes) by_route_.clear();
+  Samples& samples = by_route_[route];
+  if (samples.values.size() < kMaxSamples) {
+    samples.values.push_back(*stated);
   } else {
-    known.last[known.next] = *stated;
-    known.next = (known.next + 1) % kRemembered;
+    samples.values[samples.next] = *stated;
+    samples.next = (samples.next + 1) % kMaxSamples;
   }
-  if (known.last.size() < kLeast) return milliseconds(0);
-  std::vector<milliseconds> sorted = known.last;
+  if (samples.values.size() < kMinSamples) return milliseconds(0);
+  std::vector<milliseconds> sorted = samples.values;
   const auto middle = sorted.begin() + sorted.size() / 2;
   std::ranges::nth_element(sorted, middle);
   const milliseconds median = *middle;
-  // Callers' deadlines may differ around the median. What lies as far below it
-  // as the longest lies above is still one of a new caller.
+  // Deadlines of new callers vary around the median. A deadline that is as far
+  // below the median as the longest is above it can still be one of a new
+  // caller.
   const milliseconds longest = std::ranges::max(sorted);
   const milliseconds shortest = median - (longest - median) - kJitter;
   return *stated < shortest ? median - *stated : milliseconds(0);
--- a/libs/entry/src/work_quarantine.cc
+++ b/libs/entry/src/work_quarantine.cc
@@ -111,7 +111,7 @@
 }
 
 void WorkQuarantine::TellOthers(const std::vector<Crash>& crashes) {
-  links_.TellAll([&](peer::Frame& frame) {
+  links_.Broadcast([&](peer::Frame& frame) {
     std::ranges::copy(crashes, std::back_inserter(frame.crashes));
   });
 }
@@ -124,7 +124,7 @@
   utils::DecisionLog("work_acquitted")
       .Add("work", work)
       .Add("service", service);
-  links_.TellAll([&](peer::Frame& frame) { frame.good_runs.push_back(run); });
+  links_.Broadcast([&](peer::Frame& frame) { frame.good_runs.push_back(run); });
   if (quarantined && archive_) {
     archive_->Write(work, ledger_.CrashesUnder(work));
   }
--- a/libs/entry/test/drain_policy_test.cc
+++ b/libs/entry/test/drain_policy_test.cc
@@ -3,30 +3,31 @@
 #include <catch2/catch.hpp>
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
-using turmeric::entry::TakesWhileStopping;
+using turmeric::entry::AcceptsWhileStopping;
 
-// Story: an instance got SIGTERM seven seconds ago; a caller's connection is
-// still open, and a stream begins on it. A second later the process exits in
-// the middle of the stream. Refused at once, the caller goes elsewhere.
+// Guards against a stream that is cut off: it begins on a caller's open
+// connection seven seconds after SIGTERM, and a second later the process exits.
+// If it is refused at once, the caller sends the request to another instance.
 TEST_CASE("a stream is not begun shortly before the process ends") {
-  REQUIRE_FALSE(TakesWhileStopping(true, 6600ms, 8000ms));
-  REQUIRE_FALSE(TakesWhileStopping(true, 3100ms, 8000ms));
+  REQUIRE_FALSE(AcceptsWhileStopping(true, 6600ms, 8000ms));
+  REQUIRE_FALSE(AcceptsWhileStopping(true, 3100ms, 8000ms));
 }
 
-// A stream that takes five seconds was taken 2.95 s after the signal: it ended
-// before the kill, but not before the process, which exits 0.3 s earlier.
-TEST_CASE("what is taken ends before the exit, not just before the kill") {
-  REQUIRE_FALSE(TakesWhileStopping(true, 2950ms, 8000ms));
+// Guards against a margin that ignores the exit of the process, 0.3 s before
+// the kill: a stream of five seconds that begins 2.95 s after the signal ends
+// before the kill, but not before the exit.
+TEST_CASE("an accepted request ends before the exit, not just the kill") {
+  REQUIRE_FALSE(AcceptsWhileStopping(true, 2950ms, 8000ms));
 }
 
-TEST_CASE("right after the signal everything is taken") {
-  REQUIRE(TakesWhileStopping(true, 0ms, 8000ms));
-  REQUIRE(TakesWhileStopping(true, 2000ms, 8000ms));
-  REQUIRE(TakesWhileStopping(false, 5000ms, 8000ms));
+TEST_CASE("right after the signal all requests are accepted") {
+  REQUIRE(AcceptsWhileStopping(true, 0ms, 8000ms));
+  REQUIRE(AcceptsWhileStopping(true, 2000ms, 8000ms));
+  REQUIRE(AcceptsWhileStopping(false, 5000ms, 8000ms));
 }
 
-TEST_CASE("a short request is taken for longer, but not to the end") {
-  REQUIRE_FALSE(TakesWhileStopping(false, 7000ms, 8000ms));
+TEST_CASE("a short request is accepted longer, but not until the exit") {
+  REQUIRE_FALSE(AcceptsWhileStopping(false, 7000ms, 8000ms));
 }
 
 TEST_CASE("last answers have time to leave before the process ends") {
--- a/libs/entry/test/instance_directory_test.cc
+++ b/libs/entry/test/instance_directory_test.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** A store that answers at once and counts. */
+/** A store that answers at once and counts the calls. */
 class CountingSource : public ObjectSource {
  public:
   void List(const std::string&, Freshness freshness,
@@ -40,7 +40,7 @@
 
 }  // namespace
 
-TEST_CASE("an instance enters itself and sees itself") {
+TEST_CASE("an instance registers itself and is in its list") {
   CountingSource source;
   Instances seen;
   InstanceDirectory directory(source, "instances", "entry-1", kOwn,
@@ -52,10 +52,11 @@
   REQUIRE(seen == Instances{{"entry-1", kOwn}});
 }
 
-// Story: a fleet of three hundred restarts after a loss of power. Each instance
-// writes what stands in the store already, is told that it is there, and writes
-// again: six hundred calls in the second in which the store is needed most.
-TEST_CASE("an instance that stands in the list as it is writes nothing") {
+// Guards against six hundred calls in the second in which the store is needed
+// most: after a power loss, each of three hundred restarting instances would
+// write the entry that the store already has, be refused because it exists, and
+// write again.
+TEST_CASE("an instance that is listed unchanged writes nothing") {
   CountingSource source;
   source.objects = {{.name = "entry-1",
                      .spec = {{"peer_address", "10.0.0.1:7"},
@@ -69,7 +70,7 @@
   REQUIRE(source.lists == std::vector{ObjectSource::Freshness::kMayBeStale});
 }
 
-TEST_CASE("an instance with a new address enters itself anew") {
+TEST_CASE("an instance with a new address registers again") {
   CountingSource source;
   source.objects = {{.name = "entry-1",
                      .spec = {{"peer_address", "10.0.0.2:7"},
--- a/libs/entry/test/relay_choice_test.cc
+++ b/libs/entry/test/relay_choice_test.cc
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** A fleet with some larger instances in each zone. */
+/** A fleet with small and large instances in each zone. */
 Instances MakeFleet(int zones, int small, int large) {
   Instances fleet;
   for (int z = 0; z < zones; ++z) {
@@ -47,9 +47,10 @@
   REQUIRE(RelaysOfZone(MakeFleet(1, 3, 0), "elsewhere").empty());
 }
 
-// Story: if all followers of a zone chose the same two relays, the others would
-// read the store for nobody, and these two would pass on everything.
-TEST_CASE("followers share a zone's relays") {
+// Guards against an unbalanced load: if all followers of a zone chose the same
+// two relays, these two would send all changes, and the other relays would
+// watch the store without any follower.
+TEST_CASE("followers are spread over a zone's relays") {
   const Instances fleet = MakeFleet(1, 90, 6);
   const auto relays = RelaysOfZone(fleet, "zone-0");
   std::map<std::string, int> first;
@@ -65,9 +66,9 @@
   for (const auto& [name, followers] : first) REQUIRE(followers < 30);
 }
 
-// Story: one zone loses its way to the store, its instances still reach each
-// other and the other zones. If its relays followed only each other, none of
-// them would hear of a new configuration.
+// Guards against a zone that loses its path to the store while its instances
+// still reach each other and other zones: relays that follow only each other
+// would not receive a new configuration.
 TEST_CASE("a relay's second source is in another zone") {
   const Instances fleet = MakeFleet(3, 20, 2);
   for (const std::string& relay : RelaysOfZone(fleet, "zone-0")) {
@@ -77,7 +78,7 @@
   }
 }
 
-TEST_CASE("a relay asks relays only") {
+TEST_CASE("a relay follows relays only") {
   const Instances fleet = MakeFleet(1, 20, 0);
   const auto relays = RelaysOfZone(fleet, "zone-0");
   REQUIRE(SourcesFor(fleet, relays[0]) == std::vector<std::string>{relays[1]});
@@ -91,9 +92,9 @@
   REQUIRE(SourcesFor(fleet, "unknown").empty());
 }
 
-// Story: all relays of a zone lose power. Those that would be next are asked
-// before other zones are, so that the zone's traffic stays there.
-TEST_CASE("behind the relays stand those that would take their place") {
+// Guards against traffic across zones after all relays of a zone have lost
+// power: the zone's next candidates are preferred over relays of other zones.
+TEST_CASE("a zone's substitutes are preferred over distant relays") {
   const Instances fleet = MakeFleet(2, 30, 0);
   const auto sources = SourcesFor(fleet, "zone-0-7");
   const auto far = std::ranges::find_if(sources, [&](const auto& name) {
--- a/libs/entry/test/relay_protocol_test.cc
+++ b/libs/entry/test/relay_protocol_test.cc
@@ -41,15 +41,18 @@
 
 using Clock = FollowPolicy::Clock;
 
-constexpr milliseconds kStep{50};
-constexpr milliseconds kTick{250};
-constexpr milliseconds kBeat{1000};
-constexpr milliseconds kAskAgain{1500};
-/** Within this a change is known wherever a path to it lives. */
+constexpr milliseconds kTimeStep{50};
+constexpr milliseconds kDecisionInterval{250};
+constexpr milliseconds kHeartbeatInterval{1000};
+constexpr milliseconds kFollowInterval{1500};
+/**
+ * A change is known within this wherever a working path to the store exists.
+ */
 constexpr milliseconds kBound{3500};
 
-/** The store: for each of its eras a log of changes and what it held after
- * each.
+/**
+ * Model of the store: for each era a log of changes and the contents after each
+ * change. An era begins when the store is restored from a copy.
  */
 struct Store {
   /** An object's content and the revision of its last change. */
@@ -80,8 +83,11 @@
     era.held.push_back(std::move(next));
     heads.emplace_back(now, position());
   }
-  /** Comes back from a copy. @param lost changes that it lacks. */
-  void ComeBack(size_t lost, Clock::time_point now) {
+  /**
+   * Restores the store from a copy.
+   * @param lost number of the latest changes that the copy lacks.
+   */
+  void RestoreFromCopy(size_t lost, Clock::time_point now) {
     Era copy = eras.back();
     lost = std::min(lost, copy.log.size());
     copy.log.resize(copy.log.size() - lost);
@@ -108,7 +114,7 @@
     }
     return list;
   }
-  /** @return what it held at a position. */
+  /** @return the store's contents at a position. */
   Contents HeldAt(Position at) const {
     Contents contents;
     const auto& era = eras[static_cast<size_t>(EraOf(at))];
@@ -118,7 +124,7 @@
     }
     return contents;
   }
-  /** @return the newest position that is older than some time. */
+  /** @return the newest position that is older than a point in time. */
   Position PositionBefore(Clock::time_point time) const {
     const auto next = std::ranges::upper_bound(
         heads, time, {}, &std::pair<Clock::time_point, Position>::first);
@@ -139,25 +145,28 @@
   }
 };
 
-/** One instance: the real decisions, its connections and the store modelled. */
+/**
+ * One instance: the production decision logic, with modelled connections and a
+ * modelled store.
+ */
 struct Node {
   std::string name;
   std::unique_ptr<KindReplica> replica;
   std::unique_ptr<FollowPolicy> policy;
   std::unique_ptr<StoreRelay> relay;
-  std::map<std::string, Frame> outgoing;  ///< To its followers.
+  std::map<std::string, Frame> outgoing;  ///< By follower.
   Store::Contents held;
-  Clock::time_point store_heard;
-  Clock::time_point frozen_till;
-  Clock::time_point store_cut_till;
-  Clock::time_point disturbed;  ///< When something last happened to it.
+  Clock::time_point store_answered_at;
+  Clock::time_point frozen_until;
+  Clock::time_point store_cut_until;
+  Clock::time_point fault_ended_at;  ///< Of its last fault.
   bool watches = false;
   bool catch_up = false;
   milliseconds phase{0};
 };
 
-/** A frame on its way; `to_relay` tells the direction. */
-struct Flight {
+/** A frame in transit; `to_relay` is the direction. */
+struct FrameInTransit {
   Clock::time_point arrives;
   std::string from;
   std::string to;
@@ -165,9 +174,9 @@
   Frame frame;
 };
 
-class World {
+class FleetSimulation {
  public:
-  World(int nodes, uint32_t seed) : random_(seed) {
+  FleetSimulation(int nodes, uint32_t seed) : random_(seed) {
     for (int i = 0; i < nodes; ++i) {
       const std::string name = "n" + std::to_string(i);
       fleet_[name] = {.address = "10.0.0.1:1",
@@ -177,80 +186,82 @@
     for (const auto& [name, info] : fleet_) Start(name);
   }
 
-  int Draw(int below) {
+  int RandomBelow(int below) {
     return static_cast<int>(random_() % static_cast<uint32_t>(below));
   }
-  Node& AnyNode() {
+  Node& RandomNode() {
     auto it = nodes_.begin();
-    std::advance(it, Draw(static_cast<int>(nodes_.size())));
+    std::advance(it, RandomBelow(static_cast<int>(nodes_.size())));
     return it->second;
   }
 
-  /** One step of time. */
+  /** Advances time by one step. */
   void Step() {
-    now_ += kStep;
+    now_ += kTimeStep;
     Deliver();
     for (auto& [name, node] : nodes_) {
-      if (now_ < node.frozen_till) continue;
-      AskStore(node);
+      if (now_ < node.frozen_until) continue;
+      WatchStore(node);
       const auto since = now_.time_since_epoch() + node.phase;
-      if (since % kTick == 0ms) Decide(node);
-      if (since % kAskAgain == 0ms) {
+      if (since % kDecisionInterval == 0ms) Decide(node);
+      if (since % kFollowInterval == 0ms) {
         for (const auto& source : node.policy->sources()) {
-          Ask(node, source, false);
+          SendFollow(node, source, false);
         }
       }
-      if (since % kBeat == 0ms && node.replica->synced()) {
-        node.relay->Beat(StatusOf(node), now_);
+      if (since % kHeartbeatInterval == 0ms && node.replica->synced()) {
+        node.relay->SendHeartbeats(StatusOf(node), now_);
       }
       Flush(node);
     }
     Check();
   }
   void ChangeStore() {
-    store_.Change(std::string(1, static_cast<char>('a' + Draw(4))),
-                  Draw(3) == 0, now_);
+    store_.Change(std::string(1, static_cast<char>('a' + RandomBelow(4))),
+                  RandomBelow(3) == 0, now_);
+  }
+  void RestoreStore() {
+    store_.RestoreFromCopy(static_cast<size_t>(RandomBelow(12)), now_);
   }
-  void ReturnStore() { store_.ComeBack(static_cast<size_t>(Draw(12)), now_); }
   void Freeze(Node& node, milliseconds time) {
-    node.frozen_till = now_ + time;
-    Disturb(node, time);
+    node.frozen_until = now_ + time;
+    NoteFault(node, time);
   }
   void CutFromStore(Node& node, milliseconds time) {
-    node.store_cut_till = now_ + time;
-    Disturb(node, time);
+    node.store_cut_until = now_ + time;
+    NoteFault(node, time);
   }
   void Restart(Node& node) {
     BreakLinks(node.name);
     Start(node.name);
   }
-  /** Its connections are reset; what is on the way is lost. */
+  /** Resets an instance's connections; frames in transit are lost. */
   void BreakLinks(const std::string& name) {
-    std::erase_if(flights_, [&](const Flight& f) {
+    std::erase_if(in_transit_, [&](const FrameInTransit& f) {
       return f.from == name || f.to == name;
     });
     for (auto& [other, node] : nodes_) {
       if (other == name) {
         for (const auto& source : node.policy->sources()) {
-          node.policy->OnLost(source, now_);
+          node.policy->OnDisconnected(source, now_);
         }
-      } else if (node.policy->Asks(name)) {
-        node.policy->OnLost(name, now_);
+      } else if (node.policy->IsFollowed(name)) {
+        node.policy->OnDisconnected(name, now_);
       }
     }
   }
-  bool AllCurrent() const {
+  bool AllUpToDate() const {
     return std::ranges::all_of(nodes_, [&](const auto& entry) {
       return entry.second.replica->revision() == store_.position();
     });
   }
-  /** Instances that wait at the store. */
-  int64_t Watchers() const {
+  /** @return number of instances that watch the store. */
+  int64_t WatcherCount() const {
     return std::ranges::count_if(
         nodes_, [](const auto& entry) { return entry.second.watches; });
   }
 
-  bool store_cuts = false;  ///< Instances lose the store alone, too.
+  bool store_cuts = false;  ///< Single instances lose the store, too.
 
  private:
   void Start(std::string name) {
@@ -263,19 +274,21 @@
         std::make_unique<StoreRelay>([&node](const std::string& follower) {
           return &node.outgoing[follower];
         });
-    node.phase = kStep * Draw(20);
-    node.disturbed = now_;
+    node.phase = kTimeStep * RandomBelow(20);
+    node.fault_ended_at = now_;
+  }
+  void NoteFault(Node& node, milliseconds time) {
+    node.fault_ended_at = now_ + time;
   }
-  void Disturb(Node& node, milliseconds time) { node.disturbed = now_ + time; }
 
   RelayStatus StatusOf(const Node& node) const {
-    return {.store_age = node.policy->StoreAge(node.store_heard, now_),
+    return {.store_age = node.policy->StoreAge(node.store_answered_at, now_),
             .outage_ended = std::nullopt,
             .known = {0, node.replica->revision(), 0}};
   }
 
-  void Apply(Node& node, const std::vector<SourceObject>& news) {
-    for (const SourceObject& object : news) {
+  void Apply(Node& node, const std::vector<SourceObject>& changed_objects) {
+    for (const SourceObject& object : changed_objects) {
       if (object.deleted) {
         node.held.erase(object.name);
       } else {
@@ -284,12 +297,12 @@
     }
   }
 
-  void AskStore(Node& node) {
-    if (now_ < node.store_cut_till) return;
+  void WatchStore(Node& node) {
+    if (now_ < node.store_cut_until) return;
     if (!node.replica->synced()) return ListStore(node);
     if (!node.watches && !node.catch_up) return;
     node.catch_up = false;
-    node.store_heard = now_;
+    node.store_answered_at = now_;
     const auto batch = store_.Since(node.replica->revision());
     if (!batch) return ListStore(node);
     const auto merged = node.replica->Merge(*batch);
@@ -302,23 +315,23 @@
     const auto changes = node.replica->MergeList(store_.List());
     if (!changes) return;
     Apply(node, changes->objects);
-    node.store_heard = now_;
+    node.store_answered_at = now_;
     node.relay->OnMerged(StoreKind::kUpstreams, *changes, StatusOf(node));
   }
 
   void Decide(Node& node) {
     const auto relays = RelaysOfZone(fleet_, fleet_.at(node.name).zone);
-    const bool ranked = std::ranges::count(relays, node.name) > 0;
-    const auto decision =
-        node.policy->Decide({.preferred = SourcesFor(fleet_, node.name),
-                             .is_relay = ranked || node.relay->followers() > 0,
-                             .store_heard = node.store_heard},
-                            now_);
+    const bool is_ranked = std::ranges::count(relays, node.name) > 0;
+    const auto decision = node.policy->Decide(
+        {.preferred = SourcesFor(fleet_, node.name),
+         .is_relay = is_ranked || node.relay->followers() > 0,
+         .store_answered_at = node.store_answered_at},
+        now_);
     node.watches = decision.watch;
-    for (const auto& name : decision.ask) Ask(node, name, true);
+    for (const auto& name : decision.to_follow) SendFollow(node, name, true);
   }
 
-  void Ask(Node& node, const std::string& source, bool resync) {
+  void SendFollow(Node& node, const std::string& source, bool resync) {
     Frame frame;
     frame.follow = {.wanted = true,
                     .resync = resync,
@@ -330,15 +343,15 @@
           .frame = std::move(frame)});
   }
 
-  void Send(Flight flight) {
-    flight.arrives = now_ + kStep * Draw(4);
-    // Bytes of one connection do not overtake each other.
-    for (const Flight& other : flights_) {
-      const bool same = other.from == flight.from && other.to == flight.to &&
-                        other.to_relay == flight.to_relay;
-      if (same) flight.arrives = std::max(flight.arrives, other.arrives);
+  void Send(FrameInTransit transit) {
+    transit.arrives = now_ + kTimeStep * RandomBelow(4);
+    // Frames of one connection arrive in order.
+    for (const FrameInTransit& other : in_transit_) {
+      const bool same = other.from == transit.from && other.to == transit.to &&
+                        other.to_relay == transit.to_relay;
+      if (same) transit.arrives = std::max(transit.arrives, other.arrives);
     }
-    flights_.push_back(std::move(flight));
+    in_transit_.push_back(std::move(transit));
   }
 
   void Flush(Node& node) {
@@ -353,28 +366,28 @@
   }
 
   void Deliver() {
-    for (size_t i = 0; i < flights_.size();) {
-      Node& to = nodes_.at(flights_[i].to);
-      // What reaches a frozen instance waits in its sockets.
-      if (flights_[i].arrives > now_ || now_ < to.frozen_till) {
+    for (size_t i = 0; i < in_transit_.size();) {
+      Node& to = nodes_.at(in_transit_[i].to);
+      // Frames to a frozen instance wait in its socket buffers.
+      if (in_transit_[i].arrives > now_ || now_ < to.frozen_until) {
         ++i;
         continue;
       }
-      const Flight flight = std::move(flights_[i]);
-      flights_.erase(flights_.begin() + static_cast<std::ptrdiff_t>(i));
-      flight.to_relay ? OnRequest(to, flight) : OnNews(to, flight);
+      const FrameInTransit transit = std::move(in_transit_[i]);
+      in_transit_.erase(in_transit_.begin() + static_cast<std::ptrdiff_t>(i));
+      transit.to_relay ? OnFollowRequest(to, transit) : OnChanges(to, transit);
     }
   }
 
-  void OnRequest(Node& relay, const Flight& flight) {
+  void OnFollowRequest(Node& relay, const FrameInTransit& transit) {
     if (!relay.replica->synced()) return;
-    relay.relay->OnFollow(flight.from, *flight.frame.follow, StatusOf(relay),
+    relay.relay->OnFollow(transit.from, *transit.frame.follow, StatusOf(relay),
                           now_);
   }
 
-  void OnNews(Node& node, const Flight& flight) {
-    if (!node.policy->Asks(flight.from)) return;
-    for (const auto& changes : flight.frame.store_changes) {
+  void OnChanges(Node& node, const FrameInTransit& transit) {
+    if (!node.policy->IsFollowed(transit.from)) return;
+    for (const auto& changes : transit.frame.store_changes) {
       if (changes.kind != StoreKind::kUpstreams) continue;
       const auto batch = FromWire(changes);
       const auto merged = node.replica->Merge(*batch);
@@ -383,19 +396,19 @@
       Apply(node, merged.news);
       node.relay->OnMerged(StoreKind::kUpstreams, *batch, StatusOf(node));
     }
-    if (!flight.frame.relay) return;
+    if (!transit.frame.relay) return;
     const bool behind =
-        flight.frame.relay->known.upstreams < node.replica->newest_change();
-    node.policy->OnHeard(flight.from, flight.frame.relay->store_age, behind,
-                         now_);
+        transit.frame.relay->known.upstreams < node.replica->newest_change();
+    node.policy->OnStatus(transit.from, transit.frame.relay->store_age, behind,
+                          now_);
   }
 
   void Check() const {
     for (const auto& [name, node] : nodes_) {
       if (!node.replica->synced()) continue;
       RC_ASSERT(node.held == store_.HeldAt(node.replica->revision()));
-      const bool calm = now_ - node.disturbed > kBound + 2s;
-      if (!calm || store_cuts) continue;
+      const bool undisturbed = now_ - node.fault_ended_at > kBound + 2s;
+      if (!undisturbed || store_cuts) continue;
       RC_ASSERT(node.replica->revision() >=
                 store_.PositionBefore(now_ - kBound));
     }
@@ -406,83 +419,87 @@
   Store store_;
   Instances fleet_;
   std::map<std::string, Node> nodes_;
-  std::deque<Flight> flights_;
+  std::deque<FrameInTransit> in_transit_;
 };
 
-/** Which faults a play draws besides those of instances. */
+/** Faults of the store that are simulated besides those of instances. */
 struct StoreFaults {
-  bool cuts = false;     ///< Instances lose the store alone.
-  bool returns = false;  ///< It comes back from an older copy.
+  bool cuts = false;      ///< Single instances lose the store.
+  bool restores = false;  ///< The store is restored from an older copy.
 };
 
-void Play(World& world, StoreFaults faults) {
-  world.store_cuts = faults.cuts;
-  const auto faults_end = 400;
-  for (int step = 0; step < faults_end + 260; ++step) {
-    if (world.Draw(12) == 0) world.ChangeStore();
-    if (step < faults_end && world.Draw(25) == 0) {
-      Node& node = world.AnyNode();
-      const milliseconds time = kStep * world.Draw(120);
-      if (faults.returns && world.Draw(3) == 0) world.ReturnStore();
-      switch (world.Draw(faults.cuts ? 4 : 3)) {
+void Simulate(FleetSimulation& sim, StoreFaults faults) {
+  sim.store_cuts = faults.cuts;
+  const auto fault_steps = 400;
+  for (int step = 0; step < fault_steps + 260; ++step) {
+    if (sim.RandomBelow(12) == 0) sim.ChangeStore();
+    if (step < fault_steps && sim.RandomBelow(25) == 0) {
+      Node& node = sim.RandomNode();
+      const milliseconds time = kTimeStep * sim.RandomBelow(120);
+      if (faults.restores && sim.RandomBelow(3) == 0) sim.RestoreStore();
+      switch (sim.RandomBelow(faults.cuts ? 4 : 3)) {
         case 0:
-          world.Freeze(node, time);
+          sim.Freeze(node, time);
           break;
         case 1:
-          world.Restart(node);
+          sim.Restart(node);
           break;
         case 2:
-          world.BreakLinks(node.name);
+          sim.BreakLinks(node.name);
           break;
         default:
-          world.CutFromStore(node, time);
+          sim.CutFromStore(node, time);
       }
     }
-    world.Step();
+    sim.Step();
   }
-  for (int step = 0; step < 260 && !world.AllCurrent(); ++step) world.Step();
-  RC_ASSERT(world.AllCurrent());
+  for (int step = 0; step < 260 && !sim.AllUpToDate(); ++step) sim.Step();
+  RC_ASSERT(sim.AllUpToDate());
 }
 
 }  // namespace
 
-// Instances freeze and wake, restart and lose their connections while the
-// store changes: each always holds what the store held at some revision, that
-// revision never goes back, and who is calm for a while knows every change
-// within the bound, whatever has happened to its relays.
-TEST_CASE("a change reaches who is calm within its bound") {
+// Instances freeze and resume, restart and lose their connections while the
+// store changes. Each instance always holds the contents of the store at some
+// revision, this revision never decreases, and an instance without recent
+// faults knows every change within the bound, whatever faults its relays had.
+TEST_CASE("a change reaches undisturbed instances within its bound") {
   REQUIRE(rc::check("freezes, restarts and resets", [] {
-    World world(*rc::gen::inRange(2, 9), *rc::gen::arbitrary<uint32_t>());
-    Play(world, {});
+    FleetSimulation sim(*rc::gen::inRange(2, 9),
+                        *rc::gen::arbitrary<uint32_t>());
+    Simulate(sim, {});
   }));
 }
 
-// The same with instances that lose the store alone, relays among them: once
-// the faults are over, everybody knows all changes.
-TEST_CASE("after faults of the store, too, everybody is current") {
+// As above, with instances, also relays, that lose only the store: once the
+// faults are over, all instances know all changes.
+TEST_CASE("after faults of the store all instances are up to date") {
   REQUIRE(rc::check("faults of the store as well", [] {
-    World world(*rc::gen::inRange(2, 9), *rc::gen::arbitrary<uint32_t>());
-    Play(world, {.cuts = true, .returns = false});
+    FleetSimulation sim(*rc::gen::inRange(2, 9),
+                        *rc::gen::arbitrary<uint32_t>());
+    Simulate(sim, {.cuts = true, .restores = false});
   }));
 }
 
-// Guards against an instance that stays behind when the store comes back from
-// an older copy, goes back to an earlier era, or mixes the states of two.
-TEST_CASE("a store from older copies: all end at its state, within the bound") {
-  REQUIRE(rc::check("returns among freezes, restarts and resets", [] {
-    World world(*rc::gen::inRange(2, 9), *rc::gen::arbitrary<uint32_t>());
-    Play(world, {.cuts = false, .returns = true});
+// Guards against an instance that stays behind when the store is restored from
+// an older copy, reverts to an earlier era, or mixes the states of two eras.
+TEST_CASE("all instances reach the state of a store restored from a copy") {
+  REQUIRE(rc::check("restores among freezes, restarts and resets", [] {
+    FleetSimulation sim(*rc::gen::inRange(2, 9),
+                        *rc::gen::arbitrary<uint32_t>());
+    Simulate(sim, {.cuts = false, .restores = true});
   }));
-  REQUIRE(rc::check("and instances that lose the store", [] {
-    World world(*rc::gen::inRange(2, 9), *rc::gen::arbitrary<uint32_t>());
-    Play(world, {.cuts = true, .returns = true});
+  REQUIRE(rc::check("restores and instances that lose the store", [] {
+    FleetSimulation sim(*rc::gen::inRange(2, 9),
+                        *rc::gen::arbitrary<uint32_t>());
+    Simulate(sim, {.cuts = true, .restores = true});
   }));
 }
 
-// Story: three hundred instances that wait at the store cost three hundred
-// calls a change. In a calm fleet only the relays wait there.
-TEST_CASE("in a calm fleet only the relays watch the store") {
-  World world(60, 7);
-  for (int step = 0; step < 200; ++step) world.Step();
-  REQUIRE(world.Watchers() == 4);
+// Guards against the cost of a watch per instance, three hundred calls for each
+// change: in a fleet without faults only the relays watch the store.
+TEST_CASE("in a fleet without faults only the relays watch the store") {
+  FleetSimulation sim(60, 7);
+  for (int step = 0; step < 200; ++step) sim.Step();
+  REQUIRE(sim.WatcherCount() == 4);
 }
--- a/libs/entry/test/store_relay_test.cc
+++ b/libs/entry/test/store_relay_test.cc
@@ -18,7 +18,7 @@
 
 const StoreRelay::Clock::time_point kNow = StoreRelay::Clock::time_point(100s);
 
-/** A relay whose frames to its followers the test reads. */
+/** A relay whose outgoing frames are read by the test. */
 struct Relay {
   Frame Take(const std::string& follower) {
     return std::exchange(frames[follower], {});
@@ -48,7 +48,7 @@
 
 }  // namespace
 
-TEST_CASE("a follower gets what came after the revision that it knows") {
+TEST_CASE("a follower receives the changes after the revision that it knows") {
   Relay r;
   r.Merge(10, 12, "a");
   r.Merge(12, 15, "b");
@@ -67,10 +67,10 @@
   REQUIRE(next.relay);
 }
 
-// Story: a follower comes from a relay that is gone and knows less than this
-// one remembers. It must see that changes are missing, and not take the next
-// ones for all there are.
-TEST_CASE("a follower that is too far back sees a gap") {
+// Guards against missed changes when a follower switches from a failed relay
+// and knows an earlier revision than this relay keeps: it must detect the gap
+// and not apply the next changes alone.
+TEST_CASE("a follower that is too far behind receives a gap") {
   Relay r;
   r.Merge(10, 12, "a");
   r.Follow("f", 5);
@@ -79,9 +79,9 @@
   REQUIRE(frame.store_changes[0].objects.empty());
 }
 
-// Story: three hundred instances that nobody follows would each keep hundreds
-// of entries in memory.
-TEST_CASE("without followers nothing is remembered") {
+// Guards against memory use by instances that have no followers: each of three
+// hundred would keep hundreds of entries.
+TEST_CASE("without followers no changes are kept") {
   Relay r;
   r.relay.set_expects_followers(false);
   r.Merge(10, 12, "a");
@@ -92,37 +92,37 @@
   REQUIRE(r.Take("g").store_changes[0].objects.size() == 1);
 }
 
-// Story: other kinds of objects change, and the store's revision grows. Each
-// batch must join on what the follower was told last.
-TEST_CASE("a beat tells how far the store is known") {
+// Guards against a false gap when the store's revision grows with changes of
+// other kinds: each batch must continue the last revision sent to the follower.
+TEST_CASE("a heartbeat carries the revision of the store") {
   Relay r;
   r.Merge(10, 12, "a");
   r.Follow("f", 12);
   r.Take("f");
   r.relay.OnMerged(StoreKind::kUpstreams, {12, 40, {}}, {});
   REQUIRE(r.Take("f").store_changes.empty());
-  r.relay.Beat({}, kNow);
-  const Frame beat = r.Take("f");
-  REQUIRE(beat.relay);
-  REQUIRE(beat.store_changes[0].follows == 12);
-  REQUIRE(beat.store_changes[0].revision == 40);
+  r.relay.SendHeartbeats({}, kNow);
+  const Frame heartbeat = r.Take("f");
+  REQUIRE(heartbeat.relay);
+  REQUIRE(heartbeat.store_changes[0].follows == 12);
+  REQUIRE(heartbeat.store_changes[0].revision == 40);
   r.Merge(40, 41, "b");
   REQUIRE(r.Take("f").store_changes[0].follows == 40);
 }
 
-TEST_CASE("a follower that does not ask again is forgotten") {
+TEST_CASE("a follower that does not renew its request is removed") {
   Relay r;
   r.Follow("f", 0);
-  r.relay.Beat({}, kNow + 4s);
+  r.relay.SendHeartbeats({}, kNow + 4s);
   REQUIRE(r.relay.followers() == 1);
-  r.relay.Beat({}, kNow + 6s);
+  r.relay.SendHeartbeats({}, kNow + 6s);
   REQUIRE(r.relay.followers() == 0);
   r.Follow("f", 0);
   r.relay.OnFollow("f", {.wanted = false}, {}, kNow);
   REQUIRE(r.relay.followers() == 0);
 }
 
-TEST_CASE("asking again brings no second copy") {
+TEST_CASE("a renewed request does not send changes twice") {
   Relay r;
   r.Merge(10, 12, "a");
   r.Follow("f", 10);
@@ -131,9 +131,9 @@
   REQUIRE(r.Take("f").store_changes.empty());
 }
 
-// Story: an instance of another program, or a spoiled frame: what is no JSON
-// object names nothing, and nothing of the batch is used.
-TEST_CASE("changes with unreadable content are not taken") {
+// Guards against a corrupt frame, or one from an incompatible program: content
+// that is not a JSON object invalidates the whole batch.
+TEST_CASE("changes with unreadable content are rejected") {
   turmeric::peer::StoreChanges changes{
       .kind = StoreKind::kConfig,
       .follows = 1,
@@ -147,10 +147,10 @@
   REQUIRE(FromWire(changes)->objects[0].deleted);
 }
 
-// Story: configurations of some hundred routes come in quick succession. Passed
-// on to thirty followers each, they wait before the relay's link, and followers
-// act on a version that is five seconds old.
-TEST_CASE("what is too large for all followers is left to them to read") {
+// Guards against delays by a quick succession of configurations with hundreds
+// of routes: passed on to thirty followers each, they queue up at the relay's
+// link, and followers use a version that is five seconds old.
+TEST_CASE("changes too large for all followers are sent as a gap") {
   Relay r;
   for (int i = 0; i < 30; ++i) r.Follow("f" + std::to_string(i), 0);
   r.frames.clear();
@@ -173,7 +173,7 @@
   REQUIRE(notice.store_changes[0].follows == 12);
 }
 
-TEST_CASE("large content is packed on the way") {
+TEST_CASE("large content is compressed on the wire") {
   const QJsonObject spec{{"text", QString(5000, 'x')}};
   const auto wire = turmeric::entry::ToWire({SourceObject{
       .name = "main", .spec = spec, .revision = 12, .deleted = false}});
@@ -190,7 +190,7 @@
   REQUIRE(sent);
   REQUIRE(FromWire(sent->store_changes[0])->objects[0].spec == spec);
   REQUIRE(FromWire(changes)->objects[0].spec == spec);
-  changes.objects[0].spec[0] = '\x7f';  // Claims two gigabytes.
+  changes.objects[0].spec[0] = '\x7f';  // A length of two gigabytes.
   REQUIRE_FALSE(FromWire(changes));
   changes.objects[0].spec = "x";
   REQUIRE_FALSE(FromWire(changes));
--- a/libs/entry/test/usual_deadlines_test.cc
+++ b/libs/entry/test/usual_deadlines_test.cc
@@ -8,51 +8,52 @@
 
 namespace {
 
-/** Lets new callers with the same deadline come. */
-void NewCallers(UsualDeadlines& deadlines, milliseconds deadline, int count) {
-  for (int i = 0; i < count; ++i) deadlines.Used("digest", deadline);
+/** Simulates new callers with the same deadline. */
+void AddNewCallers(UsualDeadlines& deadlines, milliseconds deadline,
+                   int count) {
+  for (int i = 0; i < count; ++i) deadlines.TimeUsed("digest", deadline);
 }
 
 }  // namespace
 
-// Story: in a burst a caller is refused after 900 ms, pauses, and returns with
-// 4.8 of its 6 seconds left. Taken for new, it is served before callers that
-// can still be in time, gets its answer after its target all the same, and
-// makes one of them late.
-TEST_CASE("a caller that returns has used a part of its time") {
+// Guards against retrying callers that are treated as new: in a burst a caller
+// is refused after 900 ms, pauses, and retries with 4.8 of its 6 seconds left.
+// Treated as new, it is served before callers that can still be served in time,
+// receives its answer after its target anyway, and makes one of them late.
+TEST_CASE("a retrying caller has used a part of its time") {
   UsualDeadlines deadlines;
-  NewCallers(deadlines, 6000ms, 10);
-  REQUIRE(deadlines.Used("digest", 4800ms) == 1200ms);
-  REQUIRE(deadlines.Used("digest", 5990ms) == 0ms);
-  REQUIRE(deadlines.Used("chat", 4800ms) == 0ms);
+  AddNewCallers(deadlines, 6000ms, 10);
+  REQUIRE(deadlines.TimeUsed("digest", 4800ms) == 1200ms);
+  REQUIRE(deadlines.TimeUsed("digest", 5990ms) == 0ms);
+  REQUIRE(deadlines.TimeUsed("chat", 4800ms) == 0ms);
 }
 
-TEST_CASE("a caller that states nothing counts as new") {
+TEST_CASE("a caller that states no deadline counts as new") {
   UsualDeadlines deadlines;
-  NewCallers(deadlines, 6000ms, 10);
-  REQUIRE(deadlines.Used("digest", std::nullopt) == 0ms);
+  AddNewCallers(deadlines, 6000ms, 10);
+  REQUIRE(deadlines.TimeUsed("digest", std::nullopt) == 0ms);
 }
 
-// Story: the callers of a route wait for five to six seconds, each for another
-// time. Held against the longest, nearly all of them would count as returning,
-// and none would be served before its target.
+// Guards against callers of a route with varied deadlines of five to six
+// seconds that are treated as retrying: compared with the longest deadline,
+// nearly all of them would be, and none would be served before its target.
 TEST_CASE("callers whose deadlines differ are all new") {
   UsualDeadlines deadlines;
-  int returning = 0;
+  int retrying = 0;
   for (int i = 0; i < 900; ++i) {
     const milliseconds stated(5100 + (i * 397) % 900);
-    if (deadlines.Used("digest", stated) > 0ms) ++returning;
+    if (deadlines.TimeUsed("digest", stated) > 0ms) ++retrying;
   }
-  REQUIRE(returning < 45);
-  REQUIRE(deadlines.Used("digest", 3500ms) > 1500ms);
+  REQUIRE(retrying < 45);
+  REQUIRE(deadlines.TimeUsed("digest", 3500ms) > 1500ms);
 }
 
-// Story: the callers of a route are given shorter deadlines from now on. If
-// the old ones counted for ever, all would be taken for returning callers.
-TEST_CASE("what was usual before is forgotten") {
+// Guards against old deadlines that are used forever: after callers of a route
+// switch to shorter deadlines, all would be treated as retrying.
+TEST_CASE("former deadlines are replaced") {
   UsualDeadlines deadlines;
-  NewCallers(deadlines, 6000ms, 40);
-  REQUIRE(deadlines.Used("digest", 3000ms) == 3000ms);
-  NewCallers(deadlines, 3000ms, 32);
-  REQUIRE(deadlines.Used("digest", 3000ms) == 0ms);
+  AddNewCallers(deadlines, 6000ms, 40);
+  REQUIRE(deadlines.TimeUsed("digest", 3000ms) == 3000ms);
+  AddNewCallers(deadlines, 3000ms, 32);
+  REQUIRE(deadlines.TimeUsed("digest", 3000ms) == 0ms);
 }
