--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "turmeric/entry/cold_guard.h"
+#include "turmeric/entry/cold_limiter.h"
 #include "turmeric/routing/choice.h"
 #include "turmeric/stages/shard.h"
 
--- a/libs/entry/include/turmeric/entry/entry_context.h
+++ b/libs/entry/include/turmeric/entry/entry_context.h
@@ -3,8 +3,8 @@
 #include <optional>
 
 #include "turmeric/config/entry_settings.h"
-#include "turmeric/entry/backlog_board.h"
-#include "turmeric/entry/cold_guard.h"
+#include "turmeric/entry/backlog_reports.h"
+#include "turmeric/entry/cold_limiter.h"
 #include "turmeric/entry/drain_policy.h"
 #include "turmeric/entry/retry_budgets.h"
 #include "turmeric/entry/stage_client.h"
--- a/libs/entry/include/turmeric/entry/request_run.h
+++ b/libs/entry/include/turmeric/entry/request_run.h
@@ -12,7 +12,7 @@
 #include "turmeric/entry/caller_answer.h"
 #include "turmeric/entry/repeat_policy.h"
 #include "turmeric/entry/request_admission.h"
-#include "turmeric/entry/stream_relay.h"
+#include "turmeric/entry/stream_forwarder.h"
 #include "turmeric/entry/wire_format.h"
 #include "turmeric/http/client_connection.h"
 #include "turmeric/routing/route_table.h"
--- a/libs/entry/include/turmeric/entry/stage_dispatcher.h
+++ b/libs/entry/include/turmeric/entry/stage_dispatcher.h
@@ -10,7 +10,7 @@
 #include <utility>
 #include <vector>
 
-#include "turmeric/entry/result_releases.h"
+#include "turmeric/entry/result_releaser.h"
 #include "turmeric/entry/upstream_client.h"
 #include "turmeric/routing/route_table.h"
 #include "turmeric/stages/piece_queue.h"
--- a/libs/entry/src/cold_guard.cc
+++ b/libs/entry/src/cold_limiter.cc
@@ -1,4 +1,4 @@
-#include "turmeric/entry/cold_guard.h"
+#include "turmeric/entry/cold_limiter.h"
 
 #include <utility>
 
--- a/libs/entry/src/engine_placer.cc
+++ b/libs/entry/src/engine_placer.cc
@@ -6,8 +6,8 @@
 
 #include "turmeric/entry/entry_context.h"
 #include "turmeric/entry/instance_links.h"
-#include "turmeric/entry/placement_desk.h"
-#include "turmeric/entry/wanted_upstream.h"
+#include "turmeric/entry/placement_coordinator.h"
+#include "turmeric/entry/upstream_criteria.h"
 #include "turmeric/routing/choice.h"
 #include "turmeric/stages/shard.h"
 #include "turmeric/utils/decision_log.h"
--- a/libs/entry/src/piece_host.cc
+++ b/libs/entry/src/peer_server.cc
@@ -1,10 +1,10 @@
-#include "turmeric/entry/piece_host.h"
+#include "turmeric/entry/peer_server.h"
 
 #include <algorithm>
 #include <utility>
 #include <vector>
 
-#include "turmeric/entry/placement_desk.h"
+#include "turmeric/entry/placement_coordinator.h"
 #include "turmeric/entry/stage_dispatcher.h"
 #include "turmeric/entry/store_news.h"
 #include "turmeric/utils/decision_log.h"
--- a/libs/entry/src/placement_desk.cc
+++ b/libs/entry/src/placement_coordinator.cc
@@ -1,9 +1,9 @@
-#include "turmeric/entry/placement_desk.h"
+#include "turmeric/entry/placement_coordinator.h"
 
 #include <algorithm>
 
 #include "turmeric/entry/entry_context.h"
-#include "turmeric/entry/wanted_upstream.h"
+#include "turmeric/entry/upstream_criteria.h"
 #include "turmeric/routing/choice.h"
 #include "turmeric/stages/shard.h"
 
--- a/libs/entry/src/result_releases.cc
+++ b/libs/entry/src/result_releaser.cc
@@ -1,4 +1,4 @@
-#include "turmeric/entry/result_releases.h"
+#include "turmeric/entry/result_releaser.h"
 
 #include <memory>
 
--- a/libs/entry/src/stream_relay.cc
+++ b/libs/entry/src/stream_forwarder.cc
@@ -1,4 +1,4 @@
-#include "turmeric/entry/stream_relay.h"
+#include "turmeric/entry/stream_forwarder.h"
 
 namespace turmeric::entry {
 
--- a/libs/entry/src/upstream_choice.cc
+++ b/libs/entry/src/upstream_choice.cc
@@ -3,7 +3,7 @@
 #include <algorithm>
 
 #include "turmeric/entry/entry_context.h"
-#include "turmeric/entry/wanted_upstream.h"
+#include "turmeric/entry/upstream_criteria.h"
 #include "turmeric/routing/choice.h"
 
 namespace turmeric::entry {
--- a/libs/entry/src/wanted_upstream.cc
+++ b/libs/entry/src/upstream_criteria.cc
@@ -1,4 +1,4 @@
-#include "turmeric/entry/wanted_upstream.h"
+#include "turmeric/entry/upstream_criteria.h"
 
 #include <vector>
 
--- a/libs/entry/test/cold_fleet_test.cc
+++ b/libs/entry/test/cold_fleet_test.cc
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-#include "turmeric/entry/cold_guard.h"
+#include "turmeric/entry/cold_limiter.h"
 #include "turmeric/routing/choice.h"
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
--- a/libs/entry/test/request_admission_test.cc
+++ b/libs/entry/test/request_admission_test.cc
@@ -2,7 +2,7 @@
 
 #include <catch2/catch.hpp>
 
-#include "turmeric/entry/stream_relay.h"
+#include "turmeric/entry/stream_forwarder.h"
 #include "turmeric/entry/wire_format.h"
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
