--- a/libs/entry/include/turmeric/entry/cold_guard.h
+++ b/libs/entry/include/turmeric/entry/cold_guard.h
@@ -60,16 +60,17 @@
    *     owns: a cell or a shard. @param now the time.
    * @return which upstreams may get one more request.
    */
-  routing::Admits AsOwner(const routing::ServiceSpec* spec,
-                          const std::string& part, Clock::time_point now);
+  routing::UpstreamFilter AsOwner(const routing::ServiceSpec* spec,
+                                  const std::string& part,
+                                  Clock::time_point now);
   /** @param spec a service with owners, or nullptr. @param now the time.
    * @return the same, for a choice without its owner. */
-  routing::Admits Alone(const routing::ServiceSpec* spec,
-                        Clock::time_point now) const;
+  routing::UpstreamFilter Alone(const routing::ServiceSpec* spec,
+                                Clock::time_point now) const;
   /** @param spec a service without owners, or nullptr. @param now the time.
    * @return the same. */
-  routing::Admits WithoutOwner(const routing::ServiceSpec* spec,
-                               Clock::time_point now) const;
+  routing::UpstreamFilter WithoutOwner(const routing::ServiceSpec* spec,
+                                       Clock::time_point now) const;
   /** A request goes to the upstream. @param spec of its service, or nullptr.
    * @param upstream it. @param now the time. */
   void NoteSend(const routing::ServiceSpec* spec, routing::Upstream& upstream,
--- a/libs/entry/include/turmeric/entry/entry_context.h
+++ b/libs/entry/include/turmeric/entry/entry_context.h
@@ -56,7 +56,7 @@
   void Note(routing::Upstream& upstream, routing::Outcome outcome,
             double ms) const {
     NoteOutcome(upstream, outcome, ms, routing::Clock::now());
-    if (!Uses(config::Mechanism::kEjection)) upstream.ejected_till = {};
+    if (!Uses(config::Mechanism::kEjection)) upstream.ejected_until = {};
   }
 
   config::EntrySettings settings;
--- a/libs/entry/include/turmeric/entry/placement_desk.h
+++ b/libs/entry/include/turmeric/entry/placement_desk.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "turmeric/peer/frame.h"
-#include "turmeric/routing/placement_book.h"
+#include "turmeric/routing/placement_tracker.h"
 
 namespace turmeric::entry {
 
@@ -51,7 +51,7 @@
                 const routing::Upstream& engine);
 
   EntryContext& context_;
-  std::map<std::string, routing::PlacementBook> books_;  ///< By guest.
+  std::map<std::string, routing::PlacementTracker> books_;  ///< By guest.
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/retry_budgets.h
+++ b/libs/entry/include/turmeric/entry/retry_budgets.h
@@ -24,7 +24,7 @@
     fleet_.NoteList(list, now);
   }
   /** This instance is the only one, by its settings. */
-  void SetAlone() { fleet_.SetAlone(); }
+  void SetAlone() { fleet_.SetSingleInstance(); }
   /** @return instances in the fleet's list, this one included; 0: not read. */
   int listed_instances() const { return fleet_.listed(); }
   /** @param service a request for it arrived. @param now the time. @param
@@ -47,9 +47,9 @@
   }
   /** @param now the time. @return this instance's part of the slack. */
   double SlackShare(routing::Clock::time_point now) const {
-    if (const auto parts = fleet_.Parts(now)) return limits_.slack / *parts;
+    if (const auto parts = fleet_.Divisor(now)) return limits_.slack / *parts;
     // Enough for one repeat at a time, where twice the fleet could have it.
-    const auto fleet = fleet_.Settled(now);
+    const auto fleet = fleet_.SettledSize(now);
     const bool is_ample = fleet && limits_.slack >= 2 * kLeastShare * *fleet;
     return is_ample ? kLeastShare : 0;
   }
--- a/libs/entry/src/cold_guard.cc
+++ b/libs/entry/src/cold_guard.cc
@@ -4,15 +4,15 @@
 
 namespace turmeric::entry {
 
-using routing::Admits;
 using routing::RecentSends;
-using routing::SendGround;
+using routing::SenderRole;
 using routing::ServiceSpec;
 using routing::Upstream;
+using routing::UpstreamFilter;
 
 namespace {
 
-Admits AdmitNone() {
+UpstreamFilter AdmitNone() {
   return [](const Upstream&) { return false; };
 }
 
@@ -33,8 +33,9 @@
   return routing::ArrivalBound(spec->cold_per_s, tolerance_);
 }
 
-Admits ColdGuard::AsOwner(const ServiceSpec* spec, const std::string& part,
-                          Clock::time_point now) {
+UpstreamFilter ColdGuard::AsOwner(const ServiceSpec* spec,
+                                  const std::string& part,
+                                  Clock::time_point now) {
   const auto bound = BoundOf(spec);
   if (!bound) return {};
   if (!others_) return AdmitNone();
@@ -46,30 +47,31 @@
     return Alone(spec, now);
   }
   const auto most = static_cast<size_t>(routing::ShareOfBound(
-      *bound, took_over ? SendGround::kNewOwner : SendGround::kOwner));
+      *bound, took_over ? SenderRole::kNewOwner : SenderRole::kOwner));
   return [most, now](const Upstream& u) { return u.sends.Count(now) < most; };
 }
 
-Admits ColdGuard::Alone(const ServiceSpec* spec, Clock::time_point now) const {
+UpstreamFilter ColdGuard::Alone(const ServiceSpec* spec,
+                                Clock::time_point now) const {
   const auto bound = BoundOf(spec);
   if (!bound) return {};
   if (!others_) return AdmitNone();
-  const int share = routing::ShareOfBound(*bound, SendGround::kAlone);
+  const int share = routing::ShareOfBound(*bound, SenderRole::kUncoordinated);
   return [this, share, now](const Upstream& u) {
-    const int own = routing::DealtShare(share, u.entry.id, self_, *others_);
+    const int own = routing::InstanceShare(share, u.entry.id, self_, *others_);
     return u.sends.Count(now) < static_cast<size_t>(own);
   };
 }
 
-Admits ColdGuard::WithoutOwner(const ServiceSpec* spec,
-                               Clock::time_point now) const {
+UpstreamFilter ColdGuard::WithoutOwner(const ServiceSpec* spec,
+                                       Clock::time_point now) const {
   const auto bound = BoundOf(spec);
   if (!bound) return {};
-  const int share = routing::ShareOfBound(*bound, SendGround::kNoOwner);
+  const int share = routing::ShareOfBound(*bound, SenderRole::kNoOwner);
   return [this, share, now](const Upstream& u) {
-    if (now >= u.cold_till) return true;
+    if (now >= u.cold_until) return true;
     if (!others_) return false;
-    const int own = routing::DealtShare(share, u.entry.id, self_, *others_);
+    const int own = routing::InstanceShare(share, u.entry.id, self_, *others_);
     return u.sends.Count(now) < static_cast<size_t>(own);
   };
 }
--- a/libs/entry/src/instance_links.cc
+++ b/libs/entry/src/instance_links.cc
@@ -48,7 +48,7 @@
   }
   context_.retries.NoteList(
       {.instances = static_cast<int>(instances_.size()) + 1,
-       .lists_this_one = listed},
+       .self_listed = listed},
       Clock::now());
   std::set<std::string, std::less<>> others;
   for (const auto& [name, instance] : instances_) others.insert(name);
--- a/libs/entry/src/placement_desk.cc
+++ b/libs/entry/src/placement_desk.cc
@@ -20,7 +20,7 @@
                  const routing::Upstream& engine) {
   const double shared = choice.shared_ms + choice.session_ms;
   const double own = std::max(0.0, PromptMs(order.prompt_tokens) - shared);
-  return own + routing::UnheldMs(choice, engine);
+  return own + routing::UncachedPromptMs(choice, engine);
 }
 
 }  // namespace
--- a/libs/entry/src/request_admission.cc
+++ b/libs/entry/src/request_admission.cc
@@ -77,9 +77,9 @@
         std::min(admission.stream_limit, deadline + kCallerLeaves);
   }
   admission.first_byte_limit = admission.limit;
-  if (route.patience > milliseconds(0)) {
-    admission.first_byte_limit =
-        std::min(admission.limit, arrived + route.patience - kAnswerMargin);
+  if (route.first_byte_timeout > milliseconds(0)) {
+    admission.first_byte_limit = std::min(
+        admission.limit, arrived + route.first_byte_timeout - kAnswerMargin);
   }
   if (state.since_stop) {
     const auto began = arrived - *state.since_stop;
--- a/libs/entry/src/request_run.cc
+++ b/libs/entry/src/request_run.cc
@@ -385,7 +385,7 @@
   }
   const bool upstream_error = head.status >= kServerError;
   send_->End(upstream_error ? Outcome::kError : Outcome::kAnswered);
-  if (upstream_error && route_->repeatable() &&
+  if (upstream_error && route_->retryable() &&
       MaySendAgain(SendEnd::kMayHaveRun)) {
     last_error_ =
         http::ResponseMessage{head.status, head.headers, send_->body()};
@@ -441,11 +441,11 @@
                                    {{.work = work_, .progressed = progressed}},
                                    std::move(go_on));
   // Only a repeat depends on what is found out.
-  if (!route_->repeatable()) Fail(kBadGateway, why);
+  if (!route_->retryable()) Fail(kBadGateway, why);
 }
 
 void RequestRun::AfterBroken(std::string_view why) {
-  if (route_->repeatable() && MaySendAgain(SendEnd::kMayHaveRun)) {
+  if (route_->retryable() && MaySendAgain(SendEnd::kMayHaveRun)) {
     return SendAgain();
   }
   Fail(kBadGateway, why);
--- a/libs/entry/src/stage_dispatcher.cc
+++ b/libs/entry/src/stage_dispatcher.cc
@@ -231,7 +231,8 @@
   std::vector<std::string> zones;
   bool any_listed = false;
   const routing::ServiceSpec* spec = context_.FindService(queue.shard.service);
-  const routing::Admits admits = context_.cold.AsOwner(spec, queue.name, now);
+  const routing::UpstreamFilter admits =
+      context_.cold.AsOwner(spec, queue.name, now);
   for (const UpstreamPtr& u : UpstreamsOf(queue)) {
     if (!IsListed(*u, now)) continue;
     any_listed = true;
@@ -251,7 +252,7 @@
     Worker& worker = WorkerOf(queue, u);
     std::vector<QueuedPiece> call = queue.pieces.TakeCall(
         {.pieces = limits.batch,
-         .room_bytes = stages::RoomLeft(limits, worker.room.Used(now)),
+         .result_memory_bytes = stages::RoomLeft(limits, worker.room.Used(now)),
          .other_zones = zones,
          .backed_up = backed_up,
          .zone = u->entry.zone,
@@ -326,7 +327,8 @@
   worker.room.Unreserve(call.bytes());
   const routing::ServiceSpec* spec =
       context_.table->FindService(call.service());
-  const double keep_s = spec && spec->stage ? spec->stage->keep_s : 0;
+  const double keep_s =
+      spec && spec->stage ? spec->stage->result_retention_s : 0;
   const auto till = Clock::now() + std::chrono::milliseconds(
                                        static_cast<int64_t>(keep_s * 1000));
   for (size_t i = 0; i < results.size(); ++i) {
--- a/libs/entry/src/topology_feed.cc
+++ b/libs/entry/src/topology_feed.cc
@@ -73,7 +73,7 @@
                         });
   context_.upstreams.set_on_leave([this](const routing::UpstreamPtr& u) {
     context_.client.Forget(u->entry.id);
-    context_.prompt_memory.Forget(u->entry.id);
+    context_.prompt_memory.RemoveEngine(u->entry.id);
     utils::DecisionLog("upstream_leaves")
         .Add("upstream", u->entry.id)
         .Add("service", u->entry.service)
@@ -341,10 +341,10 @@
     if (evacuated.contains(zone)) continue;
     // Nothing was read there meanwhile, and its processes may be new.
     for (const auto& u : context_.upstreams.InZone(zone)) {
-      context_.prompt_memory.Forget(u->entry.id);
+      context_.prompt_memory.RemoveEngine(u->entry.id);
       u->latency_ms = routing::Upstream().latency_ms;
       const auto* spec = context_.FindService(u->entry.service);
-      if (spec != nullptr) u->cold_till = Clock::now() + spec->cold_start;
+      if (spec != nullptr) u->cold_until = Clock::now() + spec->cold_start;
     }
   }
   utils::DecisionLog("evacuations_in_force")
@@ -401,8 +401,8 @@
 void TopologyFeed::NoteCold(std::string_view upstream) {
   const routing::UpstreamPtr found = context_.upstreams.Find(upstream);
   if (!found || found->entry.cold_left <= milliseconds(0)) return;
-  found->cold_till =
-      std::max(found->cold_till, Clock::now() + found->entry.cold_left);
+  found->cold_until =
+      std::max(found->cold_until, Clock::now() + found->entry.cold_left);
 }
 
 // Another writer may have written the entry: it names no upstream, and one
--- a/libs/entry/src/upstream_choice.cc
+++ b/libs/entry/src/upstream_choice.cc
@@ -39,12 +39,13 @@
   const auto now = Clock::now();
   const auto upstreams = context.upstreams.ForService(choice.service);
   const routing::ServiceSpec* spec = context.FindService(choice.service);
-  const routing::Admits admits = choice.has_owner
-                                     ? context.cold.Alone(spec, now)
-                                     : context.cold.WithoutOwner(spec, now);
+  const routing::UpstreamFilter admits =
+      choice.has_owner ? context.cold.Alone(spec, now)
+                       : context.cold.WithoutOwner(spec, now);
   UpstreamPtr chosen;
   if (choice.suspect) {
-    chosen = ChooseApart(upstreams, choice.work, wanted.tried, now, admits);
+    chosen =
+        ChooseByFingerprint(upstreams, choice.work, wanted.tried, now, admits);
   } else {
     routing::ChoiceRequest request = ToChoice(wanted);
     request.admits = admits;
--- a/libs/entry/test/cold_fleet_test.cc
+++ b/libs/entry/test/cold_fleet_test.cc
@@ -13,13 +13,13 @@
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using turmeric::entry::ColdGuard;
-using turmeric::routing::Admits;
 using turmeric::routing::ChoiceRequest;
 using turmeric::routing::ChooseUpstream;
 using turmeric::routing::Clock;
 using turmeric::routing::RendezvousWeight;
 using turmeric::routing::ServiceSpec;
 using turmeric::routing::Upstream;
+using turmeric::routing::UpstreamFilter;
 using turmeric::routing::UpstreamPtr;
 
 namespace {
@@ -156,9 +156,9 @@
     const bool in_time = Draw(40) != 0;
     Node* owner = in_time ? OwnerFor(node) : nullptr;
     Node& decides = owner != nullptr ? *owner : node;
-    const Admits admits = owner != nullptr
-                              ? decides.guard->AsOwner(&spec_, "cell", now_)
-                              : decides.guard->Alone(&spec_, now_);
+    const UpstreamFilter admits =
+        owner != nullptr ? decides.guard->AsOwner(&spec_, "cell", now_)
+                         : decides.guard->Alone(&spec_, now_);
     ChoiceRequest choice;
     choice.has_prompt = true;
     // All share their prompt, which draws them to one engine.
--- a/libs/entry/test/crash_fleet_test.cc
+++ b/libs/entry/test/crash_fleet_test.cc
@@ -15,7 +15,7 @@
 using turmeric::quarantine::CrashLedger;
 using turmeric::quarantine::GoodRun;
 using turmeric::routing::ChoiceRequest;
-using turmeric::routing::ChooseApart;
+using turmeric::routing::ChooseByFingerprint;
 using turmeric::routing::ChooseUpstream;
 using turmeric::routing::Upstream;
 using turmeric::routing::UpstreamPtr;
@@ -71,7 +71,7 @@
     });
     if (cause != runs_.end()) End(cause->engine);
     for (auto& engine : engines_) {
-      if (engine->listed || now_ < engine->ejected_till) continue;
+      if (engine->listed || now_ < engine->ejected_until) continue;
       engine = NewEngine();
     }
   }
@@ -119,7 +119,7 @@
     request.session_part = run.work;
     request.shared_ms = 60;
     run.engine = ledger_.IsSuspect(run.work)
-                     ? ChooseApart(engines_, run.work, {}, now_)
+                     ? ChooseByFingerprint(engines_, run.work, {}, now_)
                      : ChooseUpstream(engines_, request, now_);
     if (!run.engine) return;
     run.began = now_;
@@ -130,7 +130,7 @@
   void End(const UpstreamPtr& engine) {
     ++ended_;
     engine->listed = false;
-    engine->ejected_till = now_ + kEngineIsBack;
+    engine->ejected_until = now_ + kEngineIsBack;
     std::vector<Run> broken;
     std::erase_if(runs_, [&](const Run& run) {
       if (run.engine != engine) return false;
--- a/libs/entry/test/request_admission_test.cc
+++ b/libs/entry/test/request_admission_test.cc
@@ -154,7 +154,7 @@
   RouteTable table = MakeTable();
   for (Route& route : table.routes) {
     route.timeout = 20s;
-    route.patience = 7600ms;
+    route.first_byte_timeout = 7600ms;
   }
   CallerRequest request = MakeRequest("/closed/x", "key");
   const auto admission = Admit(request, Ready(table), kNow);
--- a/libs/entry/test/retry_fleet_test.cc
+++ b/libs/entry/test/retry_fleet_test.cc
@@ -163,7 +163,7 @@
     }
     instance.budgets.NoteList(
         {.instances = static_cast<int>(listed) + (stands ? 0 : 1),
-         .lists_this_one = stands},
+         .self_listed = stands},
         now_);
   }
 
--- a/libs/routing/include/turmeric/routing/choice.h
+++ b/libs/routing/include/turmeric/routing/choice.h
@@ -13,64 +13,71 @@
 
 namespace turmeric::routing {
 
-/** Tells whether an upstream may get one more request; empty: each may. */
-using Admits = std::function<bool(const Upstream&)>;
+/** Returns true if an upstream may receive one more request; an empty function
+ * admits every upstream. */
+using UpstreamFilter = std::function<bool(const Upstream&)>;
 
-/** What is known of a request when its upstream is chosen. */
+/** The properties of a request by which its upstream is chosen. */
 struct ChoiceRequest {
-  /** The first part of its prompt, which many requests share; empty: no
-   * affinity. */
+  /** Id of the first part of its prompt, which many requests share; empty: the
+   * request has no affinity. */
   std::string_view shared_part;
-  /** The part it shares with its session only; empty: none. */
+  /** Id of the prompt part that it shares with requests of its session only;
+   * empty: none. */
   std::string_view session_part;
   /** Time to read the shared part and the session part if not cached, ms. */
   double shared_ms = 0;
   double session_ms = 0;
-  /** True for requests with a prompt: load is prompt reading. */
+  /** True for requests with a prompt: an upstream's load is then the prompt
+   * reading that waits there. */
   bool has_prompt = false;
   /** Preferred availability zone; empty: none. */
   std::string_view zone;
-  /** Cost of serving from another zone, in ms of waiting it is worth. */
+  /** Cost of serving from another zone, as the waiting time in ms that equals
+   * it. */
   double zone_cost_ms = 0;
-  /** What engines hold, if requests of all instances are placed here; null:
-   * it is assumed by hashing. */
+  /** The prompt parts that engines hold, if this instance places the requests
+   * of all instances; null: assumed by rendezvous hashing. */
   const PromptMemory* memory = nullptr;
-  /** Ids not to be used again. */
+  /** Ids of upstreams that are excluded because they were tried before. */
   std::span<const std::string> tried;
-  Admits admits = {};
+  UpstreamFilter admits = {};
 };
 
 /**
  * Chooses an upstream for a request. Requests of one session go to the same
- * upstream, and those that share the first part of their prompt to a few,
- * while these are not much more loaded than the others (rendezvous hashing
- * with a bounded load); others go to the least loaded. Avoided upstreams are
- * used only when no other is left.
- * @param upstreams of the service. @param request what is known of it.
- * @param now the time.
+ * upstream, and requests that share the first part of their prompt go to a few
+ * upstreams, while these are not much more loaded than the others (rendezvous
+ * hashing with bounded load); requests without affinity go to the least loaded
+ * upstream. Avoided upstreams (see IsAvoided) are used only when no other is
+ * left.
+ * @param upstreams of the service. @param request its properties.
+ * @param now current time.
  * @return the choice, or nullptr if no listed upstream is left.
  */
 UpstreamPtr ChooseUpstream(std::span<const UpstreamPtr> upstreams,
                            const ChoiceRequest& request, Clock::time_point now);
 
 /**
- * Chooses an upstream for work under which others have ended. Whatever ran
- * there beside it is under the same suspicion, and prefers the same upstreams:
- * sent on by load or prompt, the innocent would meet the cause again. The
- * choice is by the work alone, so that they part.
- * @param upstreams of the service. @param work its fingerprint.
- * @param tried ids not to be used again. @param now the time.
- * @param admits see Admits.
+ * Chooses an upstream for a request during which other upstreams have crashed.
+ * Every request that ran on a crashed upstream is a suspect, and they all
+ * prefer the same upstreams: chosen by load or prompt, a harmless request would
+ * run next to the cause of the crash again. Choosing by the request's
+ * fingerprint alone spreads the suspects over different upstreams.
+ * @param upstreams of the service. @param work fingerprint of the request.
+ * @param tried ids of excluded upstreams. @param now current time.
+ * @param admits see UpstreamFilter.
  * @return the choice, or nullptr if no listed upstream is left.
  */
-UpstreamPtr ChooseApart(std::span<const UpstreamPtr> upstreams,
-                        std::string_view work,
-                        std::span<const std::string> tried,
-                        Clock::time_point now, const Admits& admits = {});
+UpstreamPtr ChooseByFingerprint(std::span<const UpstreamPtr> upstreams,
+                                std::string_view work,
+                                std::span<const std::string> tried,
+                                Clock::time_point now,
+                                const UpstreamFilter& admits = {});
 
 /**
- * @param upstreams of the service. @param request what is known of it.
- * @param now the time.
+ * @param upstreams of the service. @param request its properties.
+ * @param now current time.
  * @return the upstream that would serve the request if all were idle, or
  *     nullptr if it has no affinity or none is usable.
  */
@@ -78,12 +85,14 @@
                          const ChoiceRequest& request, Clock::time_point now);
 
 /**
- * @param request with the memory of what engines hold, or without.
+ * @param request with a prompt; without a prompt memory, no part counts as
+ *     held.
  * @param upstream an engine.
- * @return time to read the parts that requests share and the engine does not
- *     hold, ms. A part is of use only if all parts before it are held too.
+ * @return time to read the shared and the session part as far as the engine
+ *     does not hold them, ms. A held part saves time only if all parts before
+ *     it are held too.
  */
-double UnheldMs(const ChoiceRequest& request, const Upstream& upstream);
+double UncachedPromptMs(const ChoiceRequest& request, const Upstream& upstream);
 
 /**
  * @param key any key. @param member one of the candidates.
--- a/libs/routing/include/turmeric/routing/cold_limit.h
+++ b/libs/routing/include/turmeric/routing/cold_limit.h
@@ -7,55 +7,69 @@
 
 namespace turmeric::routing {
 
-/** How far above its stated rate an upstream may be loaded while it is cold. */
+/** How far arrivals may exceed an upstream's stated rate while it is cold, that
+ * is, slow and of low capacity after its start. */
 struct ColdTolerance {
   double over = 1.5;  ///< Factor on the rate.
-  double slack = 5;   ///< Arrivals in a second beyond that.
+  double slack = 5;   ///< Arrivals per second added to the scaled rate.
 };
 
 /**
- * @param per_s arrivals a second that an upstream states to bear while it is
- *     cold; 0: any number. @param tolerance see ColdTolerance.
- * @return arrivals that are allowed in any one second, from all instances
- *     together; nullopt: any number.
+ * @param per_s arrivals per second that an upstream can serve while it is cold,
+ *     as stated; 0: unlimited. @param tolerance see ColdTolerance.
+ * @return arrivals allowed in any one second, from all instances together;
+ *     nullopt: unlimited.
  */
 std::optional<int> ArrivalBound(double per_s, const ColdTolerance& tolerance);
 
-/** By what an instance decides to send to an upstream that others use too. */
-enum class SendGround {
-  kOwner,     ///< It has placed the requests of all for a while.
-  kNewOwner,  ///< It has begun to: another one may have until just now.
-  kAlone,     ///< It should have asked the owner, and could not.
-  kNoOwner,   ///< The service's upstreams are chosen by each for itself.
+/** The role in which an instance sends to an upstream that other instances use
+ * too. */
+enum class SenderRole {
+  /** Places the requests of all instances, and has done so for longer than the
+   * window of RecentSends. */
+  kOwner,
+  /** Has become the owner within that window: sends of an earlier owner may
+   * still count. */
+  kNewOwner,
+  /** Sends without the owner's decision, for example because the owner is
+   * unreachable. */
+  kUncoordinated,
+  /** The service has no owner: each instance chooses upstreams by itself. */
+  kNoOwner,
 };
 
 /**
- * The shares of an owner, of kSuccessors that take over from each other within
- * a second, and of all that choose alone stay within the bound together.
- * @param bound arrivals allowed. @param ground see SendGround.
- * @return how many of these may be sent on that ground in a second.
+ * Divides a bound among roles. The shares of one owner, of kMaxSuccessors new
+ * owners that take over from each other within a second, and of all
+ * uncoordinated instances together do not exceed the bound.
+ * @param bound arrivals allowed per second. @param role of the sender.
+ * @return sends per second allowed in that role.
  */
-int ShareOfBound(int bound, SendGround ground);
+int ShareOfBound(int bound, SenderRole role);
 
-/** Instances that may use a new owner's share of one part of a service. */
-inline constexpr int kSuccessors = 3;
+/** Instances that may use a new owner's share of one shard or cell. */
+inline constexpr int kMaxSuccessors = 3;
 
 /**
- * @param part of a service that one instance decides for. @param self the
- * instance's name. @param others names of all others, reachable or not.
- * @return true if it is among the first to own the part.
+ * @param shard name of a shard or cell, a part of a service with one owner.
+ * @param self name of this instance. @param others names of all other
+ *     instances, reachable or not.
+ * @return true if this instance is among the first kMaxSuccessors owners by
+ *     rendezvous hashing.
  */
-bool IsSuccessor(std::string_view part, std::string_view self,
+bool IsSuccessor(std::string_view shard, std::string_view self,
                  const std::set<std::string, std::less<>>& others);
 
 /**
- * Deals a share of an upstream's bound out to instances that do not hear each
- * other: evenly, or one each to the first of them by rendezvous hashing.
- * @param share sends in a second. @param upstream id of the upstream.
- * @param self the instance's name. @param others names of all others.
- * @return what the instance may send of it.
+ * Divides a share of an upstream's bound among instances that do not
+ * coordinate: evenly, with the remainder given one each to the first instances
+ * by rendezvous hashing.
+ * @param share sends per second. @param upstream id of the upstream.
+ * @param self name of this instance. @param others names of all other
+ *     instances.
+ * @return sends per second allowed to this instance.
  */
-int DealtShare(int share, std::string_view upstream, std::string_view self,
-               const std::set<std::string, std::less<>>& others);
+int InstanceShare(int share, std::string_view upstream, std::string_view self,
+                  const std::set<std::string, std::less<>>& others);
 
 }  // namespace turmeric::routing
--- a/libs/routing/include/turmeric/routing/evacuated_zones.h
+++ b/libs/routing/include/turmeric/routing/evacuated_zones.h
@@ -10,21 +10,22 @@
 namespace turmeric::routing {
 
 /**
- * The availability zones whose upstreams are to get nothing new. Time is passed
- * in.
+ * The availability zones whose upstreams receive no new work. The caller passes
+ * in the time.
  */
 class EvacuatedZones {
  public:
-  /** @param zone is evacuated from now on. */
+  /** Starts an evacuation. @param zone an availability zone. */
   void Begin(std::string_view zone);
-  /** @param zone is to be used again. @param at from when on: later than now if
-   * it is not certain that its evacuation was taken back. */
+  /** Ends an evacuation. @param zone an availability zone. @param at when the
+   * zone may be used again: later than now if it is uncertain whether the
+   * evacuation was really taken back. */
   void End(std::string_view zone, Clock::time_point at);
-  /** @param now the time. @return the zones evacuated. */
+  /** @param now current time. @return the evacuated zones. */
   std::set<std::string, std::less<>> Zones(Clock::time_point now) const;
 
  private:
-  /** When each evacuation ends; `max()` as long as it stands. */
+  /** End time of each evacuation by zone; `max()` while it is in force. */
   std::map<std::string, Clock::time_point, std::less<>> ends_;
 };
 
--- a/libs/routing/include/turmeric/routing/fleet_size.h
+++ b/libs/routing/include/turmeric/routing/fleet_size.h
@@ -8,50 +8,55 @@
 
 namespace turmeric::routing {
 
-/** What one read of the fleet's list says of its size. */
+/** The size of the fleet according to one read of its instance list. */
 struct FleetList {
-  int instances = 0;            ///< This one included, in the list or not.
-  bool lists_this_one = false;  ///< So others that read it know of this one.
+  int instances = 0;  ///< Includes this instance, whether listed or not.
+  /** True if the list has this instance, so that others can see it. */
+  bool self_listed = false;
 };
 
 /**
- * By how many instances a bound of the whole fleet is divided.
+ * The number of instances by which a fleet-wide bound is divided.
  *
- * The fleet's list is read seldom and may be stale, and an instance can be cut
- * off from it while others join. An instance takes its part for kListHolds
- * after it has read the list, and not before it has stood in the list for
- * longer than that. So whoever takes a part has read a list with all others
- * that do.
+ * The instance list is read seldom and may be stale, and an instance can be
+ * disconnected from the store while others join. An instance takes its part of
+ * a bound only within kListValidity after it has read the list, and only after
+ * it has been in the list for longer than that. Each instance that takes a part
+ * has therefore read a list with all other instances that do.
  */
 class FleetSize {
  public:
-  /** How long a list that was read stands for the fleet: two reads, one of
-   * which fails. */
-  static constexpr std::chrono::milliseconds kListHolds{22000};
-  /** By then an instance that joins is known to all that take a part. */
-  static constexpr std::chrono::milliseconds kKnownToAll =
-      kListHolds + std::chrono::milliseconds(5000);
-  /** By then a list that is being written, by a fleet that starts or after the
-   * store has lost entries, was read whole. */
-  static constexpr std::chrono::milliseconds kListSettles{8000};
+  /** How long a list stays valid after it was read: two read intervals, so that
+   * one read may fail. */
+  static constexpr std::chrono::milliseconds kListValidity{22000};
+  /** Time after which every instance that takes a part has read a list with an
+   * instance that joined. */
+  static constexpr std::chrono::milliseconds kJoinVisibleAfter =
+      kListValidity + std::chrono::milliseconds(5000);
+  /** Time after the first read by which the list has been read in full, even if
+   * it was still being written at first: by a fleet that starts, or after the
+   * store has lost entries. */
+  static constexpr std::chrono::milliseconds kListSettleTime{8000};
 
-  /** @param first_start the whole fleet starts for the first time, and this
-   * instance with it. */
+  /** @param first_start true if the whole fleet, including this instance,
+   * starts for the first time. */
   explicit FleetSize(bool first_start = false) : first_start_(first_start) {}
 
-  /** The list was read. @param list what it says. @param now the time. */
+  /** Records a read of the list. @param list its content. @param now current
+   * time. */
   void NoteList(FleetList list, Clock::time_point now);
-  /** This instance is the only one, by its settings. */
-  void SetAlone() { alone_ = true; }
+  /** Marks this instance as the only one, according to its settings. */
+  void SetSingleInstance() { single_instance_ = true; }
 
-  /** @param now the time. @return instances to divide by; none: this instance
-   * may take no part. */
-  std::optional<int> Parts(Clock::time_point now) const;
-  /** @return instances in the last list; 0: none was read. */
+  /** @param now current time. @return instances to divide by; nullopt: this
+   * instance may not take a part. */
+  std::optional<int> Divisor(Clock::time_point now) const;
+  /** @return instances in the last list; 0: no list was read. */
   int listed() const;
-  /** @param now the time. @return instances in the largest list of late; none:
-   * it may not have been read whole yet. */
-  std::optional<int> Settled(Clock::time_point now) const;
+  /** @param now current time. @return instances in the largest of the lists
+   * read within kListValidity before the last read; nullopt: the list may not
+   * have been read in full yet. */
+  std::optional<int> SettledSize(Clock::time_point now) const;
 
  private:
   struct Read {
@@ -60,10 +65,12 @@
   };
 
   bool first_start_;
-  bool alone_ = false;
+  bool single_instance_ = false;
   std::optional<Clock::time_point> first_read_;
-  std::optional<Clock::time_point> listed_since_;  ///< This instance.
-  std::deque<Read> reads_;  ///< Oldest first; those of kListHolds.
+  /** When this instance was first found in the list. */
+  std::optional<Clock::time_point> listed_since_;
+  /** Reads within kListValidity before the last one, oldest first. */
+  std::deque<Read> reads_;
 };
 
 }  // namespace turmeric::routing
--- a/libs/routing/include/turmeric/routing/prompt_memory.h
+++ b/libs/routing/include/turmeric/routing/prompt_memory.h
@@ -10,24 +10,27 @@
 namespace turmeric::routing {
 
 /**
- * Which parts of prompts each engine holds, as far as whoever places requests
- * can know: what it has sent there, the least recently used given up first.
+ * Estimates which prompt parts each engine holds in its prefix cache, from the
+ * requests that were placed on it. The least recently used parts count as
+ * evicted first.
  */
 class PromptMemory {
  public:
   /**
-   * A request with the part was sent to the engine.
-   * @param engine its id. @param part the part's id. @param tokens its size.
+   * Records that a request with the part was sent to the engine.
+   * @param engine id of the engine. @param part id of the part.
+   * @param tokens size of the part.
    * @param capacity tokens that the engine's memory holds.
    */
   void Note(const std::string& engine, std::string_view part, int64_t tokens,
             int64_t capacity);
-  /** @param engine its id. @param part a part's id.
-   * @return true if the engine should still hold it. */
+  /** @param engine id of the engine. @param part id of the part.
+   * @return true if the engine is expected to hold the part. */
   bool Holds(std::string_view engine, std::string_view part) const;
-  /** @param engine has left, or has started again with nothing. */
-  void Forget(std::string_view engine);
-  /** @return parts remembered, of all engines. */
+  /** Removes all parts of an engine that has left, or has restarted with an
+   * empty cache. @param engine id of the engine. */
+  void RemoveEngine(std::string_view engine);
+  /** @return parts recorded for all engines. */
   size_t size() const;
 
  private:
@@ -36,7 +39,7 @@
     int64_t tokens = 0;
   };
   struct Engine {
-    std::list<Held> by_use;  ///< The last used first.
+    std::list<Held> by_use;  ///< The most recently used first.
     std::unordered_map<std::string, std::list<Held>::iterator> by_part;
     int64_t tokens = 0;
   };
--- a/libs/routing/include/turmeric/routing/recent_sends.h
+++ b/libs/routing/include/turmeric/routing/recent_sends.h
@@ -7,19 +7,20 @@
 
 namespace turmeric::routing {
 
-/** How much was sent to one upstream lately. Time is passed in. */
+/** Counts the recent sends to one upstream. The caller passes in the time. */
 class RecentSends {
  public:
-  /** Sends count for this long: the second of an upstream's bound, and the
-   * longest way from the decision to the wire on a small processor. */
+  /** How long a send counts: the one second of an upstream's bound, plus the
+   * longest delay from the decision to the transmission on a small processor.
+   */
   static constexpr std::chrono::milliseconds kWindow{1100};
 
-  /** @param now something is sent. */
+  /** Records one send. @param now current time. */
   void Note(Clock::time_point now) {
-    Forget(now);
+    DropExpired(now);
     sends_.push_back(now);
   }
-  /** @param now the time. @return sends within the window that ends now. */
+  /** @param now current time. @return sends within the window that ends now. */
   size_t Count(Clock::time_point now) const {
     size_t count = 0;
     for (auto it = sends_.rbegin(); it != sends_.rend(); ++it) {
@@ -30,7 +31,7 @@
   }
 
  private:
-  void Forget(Clock::time_point now) {
+  void DropExpired(Clock::time_point now) {
     while (!sends_.empty() && sends_.front() + kWindow <= now) {
       sends_.pop_front();
     }
--- a/libs/routing/include/turmeric/routing/retry_allowance.h
+++ b/libs/routing/include/turmeric/routing/retry_allowance.h
@@ -7,65 +7,66 @@
 
 namespace turmeric::routing {
 
-/** The fleet-wide bound on repeats to one service. */
+/** The fleet-wide bound on retries to one service. */
 struct RetryBudgetLimits {
-  double ratio = 0;                     ///< Repeats per request.
-  double slack = 0;                     ///< Repeats beyond that, per window.
-  std::chrono::milliseconds window{0};  ///< Sliding.
+  double ratio = 0;  ///< Retries per request.
+  double slack = 0;  ///< Retries per window in addition to the ratio.
+  std::chrono::milliseconds window{0};  ///< Sliding window.
 };
 
 /**
- * One instance's share of the repeats that the fleet may send to one service.
+ * One instance's share of the retries that the fleet may send to one service.
  *
- * A bucket of credit that starts empty, is fed by the instance's own requests
- * with a part of the ratio, and holds at most its share of the slack and the
- * rest of the ratio of its requests of the last window. So what is spent in a
- * window is at most what the buckets held when it began, which earlier
- * requests and the slack account for, and what its own requests fed: within
- * the fleet's bound, whoever restarts, is cut off or takes over the traffic of
- * others meanwhile. Nothing has to be known of what an earlier process of this
- * instance has spent.
+ * A credit bucket that starts empty. Each request of this instance adds a part
+ * of the ratio. The bucket holds at most this instance's share of the slack,
+ * plus the rest of the ratio for its requests of the last window. The credit
+ * spent in a window is therefore at most the content of the buckets at its
+ * begin, which earlier requests and the slack account for, plus the credit
+ * added by the requests of the window. This stays within the fleet's bound even
+ * if instances restart, are disconnected or take over the traffic of others. An
+ * instance does not need the amount that an earlier process of it has spent.
  */
 class RetryAllowance {
  public:
-  /** @param credit repeats that it pays for at once. Only where nobody can
-   * have spent any of the fleet's before. */
+  /** @param credit initial credit, in retries. Nonzero only if no instance can
+   * have spent any of the fleet's budget before. */
   explicit RetryAllowance(double credit = 0) : credit_(credit) {}
 
   /**
-   * Earns credit for a request for the service.
+   * Adds credit for a request for the service.
    * @param limits the fleet's bound. @param slack_share this instance's share
-   *     of the slack. @param weight 1 for a request; less where several
-   *     instances count the same one. @param now when it arrived.
+   *     of the slack, in retries. @param weight 1 for a request; less if
+   *     several instances count the same request. @param now when it arrived.
    */
   void OnRequest(const RetryBudgetLimits& limits, double slack_share,
                  double weight, Clock::time_point now);
   /**
    * @param limits the fleet's bound. @param slack_share this instance's share
-   *     of the slack. @param now the time. @param repeats how many.
+   *     of the slack, in retries. @param now current time. @param retries to
+   *     send.
    * @return true, and takes their credit, if they may all be sent now.
    */
   bool TrySpend(const RetryBudgetLimits& limits, double slack_share,
-                Clock::time_point now, int repeats = 1);
+                Clock::time_point now, int retries = 1);
 
-  /** @return repeats that the credit pays for. */
+  /** @return the credit, in retries. */
   double credit() const { return credit_; }
-  /** @return requests remembered. */
-  size_t remembered() const { return requests_.size(); }
+  /** @return requests kept because they are within the window. */
+  size_t requests_in_window() const { return requests_.size(); }
 
  private:
-  struct Earned {
+  struct CountedRequest {
     Clock::time_point at;
     double weight = 0;
   };
 
-  /** Forgets requests of before the window, and the credit above what they
-   * and the slack account for. */
-  void Settle(const RetryBudgetLimits& limits, double slack_share,
-              Clock::time_point now);
+  /** Drops requests from before the window, and the credit above the capacity
+   * that the remaining requests and the slack allow. */
+  void DropExpired(const RetryBudgetLimits& limits, double slack_share,
+                   Clock::time_point now);
 
-  std::deque<Earned> requests_;
-  double recent_weight_ = 0;  ///< Of the requests remembered.
+  std::deque<CountedRequest> requests_;
+  double recent_weight_ = 0;  ///< Sum of the weights in `requests_`.
   double credit_;
 };
 
--- a/libs/routing/include/turmeric/routing/route_table.h
+++ b/libs/routing/include/turmeric/routing/route_table.h
@@ -12,23 +12,23 @@
 
 namespace turmeric::routing {
 
-/** What may be repeated of a route's requests. */
+/** Whether requests of a route may run more than once. */
 enum class RequestKind {
   kSafe,    ///< Idempotent: may run more than once.
-  kUnsafe,  ///< At most once per attempt of the caller.
-  kStream,  ///< An event stream; at most once unless it can be resumed.
+  kUnsafe,  ///< Runs at most once per attempt of the caller.
+  kStream,  ///< An event stream; runs at most once unless it is resumable.
 };
 
-/** A service that a route's requests go to, with its share. */
+/** A service that a route's requests go to, with its relative weight. */
 struct RouteTarget {
   std::string service;
   int weight = 1;
 };
 
-/** Work that must be done before a request can run. */
+/** A stage: work of a stage service that a request needs before it can run. */
 struct StageSpec {
   std::string service;
-  std::vector<int> after;    ///< Stages whose results it needs.
+  std::vector<int> after;    ///< Indexes of the stages whose results it needs.
   int64_t result_bytes = 0;  ///< Approximate size of one result.
 };
 
@@ -38,21 +38,21 @@
   std::string host;
   std::string path_prefix;  ///< Begins and ends with a slash.
   RequestKind kind = RequestKind::kUnsafe;
-  std::chrono::milliseconds timeout{0};  ///< Longest time to a final answer.
+  std::chrono::milliseconds timeout{0};  ///< Longest time to the final answer.
   std::chrono::milliseconds latency_target{0};
-  /** Callers give up if nothing of the answer came by then; 0: never before
-   * their deadline. */
-  std::chrono::milliseconds patience{0};
-  int priority = 0;      ///< Rank, 0 first.
+  /** Callers abandon a request if no part of the answer has arrived within this
+   * time; 0: they wait until their deadline. */
+  std::chrono::milliseconds first_byte_timeout{0};
+  int priority = 0;      ///< Rank; 0 is served first.
   int max_attempts = 1;  ///< Upstreams one request may be sent to.
   std::vector<RouteTarget> targets;
   std::vector<StageSpec> stages;
-  bool is_public = false;       ///< No key needed.
-  bool resumable = false;       ///< A stream may go on at another upstream.
+  bool is_public = false;       ///< Requests need no API key.
+  bool resumable = false;       ///< A stream may continue at another upstream.
   bool carries_prompt = false;  ///< Served by engines with a prefix cache.
 
-  /** @return true if a request may be sent again after it may have run. */
-  bool repeatable() const {
+  /** @return true if a request may be retried although it may have run. */
+  bool retryable() const {
     return kind == RequestKind::kSafe ||
            (kind == RequestKind::kStream && resumable);
   }
@@ -60,36 +60,37 @@
 
 /** How calls for stage work are made to one upstream. */
 struct StageCallLimits {
-  int slots = 1;           ///< Calls in progress at once.
-  int queue = 0;           ///< Calls that may wait.
-  int batch = 1;           ///< Pieces in one call.
-  double call_ms = 0;      ///< Fixed time of a call.
-  double piece_ms = 0;     ///< Time a piece adds, approximate.
-  int64_t room_bytes = 0;  ///< Memory for results.
-  double keep_s = 0;       ///< How long a result is kept unread.
+  int slots = 1;        ///< Calls in progress at once.
+  int queue = 0;        ///< Calls that may wait at the upstream.
+  int batch = 1;        ///< Most pieces (units of stage work) in one call.
+  double call_ms = 0;   ///< Fixed part of a call's duration.
+  double piece_ms = 0;  ///< Approximate duration added by each piece.
+  int64_t result_memory_bytes = 0;  ///< Memory for results.
+  double result_retention_s = 0;    ///< How long an unread result is kept.
 };
 
 /** One service of the configuration. */
 struct ServiceSpec {
   std::string name;
   std::string health_path;
-  int max_connections = 0;  ///< Per upstream, from all callers together.
+  int max_connections = 0;  ///< Per upstream, from all instances together.
   bool is_engine = false;
   int engine_slots = 0;       ///< Requests an engine runs at once.
-  int64_t engine_tokens = 0;  ///< Memory of an engine.
+  int64_t engine_tokens = 0;  ///< Memory of an engine, in tokens.
   std::optional<StageCallLimits> stage;
   /** How long an upstream is cold after its start. */
   std::chrono::milliseconds cold_start{0};
-  double cold_per_s = 0;  ///< Arrivals a second it bears then; 0: any number.
+  /** Arrivals per second that a cold upstream can serve; 0: unlimited. */
+  double cold_per_s = 0;
 };
 
-/** Who may call, and by which rank. */
+/** An organisation whose callers may send requests. */
 struct Organisation {
   std::string name;
-  std::optional<int> priority;  ///< Goes before the route's, if stated.
+  std::optional<int> priority;  ///< Overrides the route's priority if set.
 };
 
-/** What a caller may send and how long it may take. */
+/** Limits on the size and duration of what a caller sends. */
 struct CallerLimits {
   size_t max_header_bytes = 16 * 1024;
   size_t max_body_bytes = 4 * 1024 * 1024;
@@ -97,7 +98,7 @@
   std::chrono::milliseconds idle_timeout{15000};
 };
 
-/** One accepted configuration, decoded; immutable once built. */
+/** One accepted configuration in decoded form; immutable once built. */
 struct RouteTable {
   int64_t version = 0;
   std::vector<Route> routes;
@@ -116,12 +117,12 @@
   const ServiceSpec* FindService(const std::string& name) const;
 };
 
-/** The configuration in force, shared by all that read it. */
+/** The configuration in force, shared by its readers. */
 using RouteTablePtr = std::shared_ptr<const RouteTable>;
 
 /**
  * @param targets a route's services and weights; not empty.
- * @param draw uniform in [0, 1).
+ * @param draw random number, uniform in [0, 1).
  * @return the service drawn.
  */
 const std::string& PickTarget(const std::vector<RouteTarget>& targets,
--- a/libs/routing/include/turmeric/routing/upstream.h
+++ b/libs/routing/include/turmeric/routing/upstream.h
@@ -11,85 +11,94 @@
 
 namespace turmeric::routing {
 
-/** What the platform's list says of one upstream process. */
+/** The entry of one upstream process in the platform's list. */
 struct UpstreamEntry {
-  std::string id;  ///< A process may start again under the id that it had.
-  /** When the process started, Unix milliseconds by its own clock; tells two
-   * starts under one id apart. 0: not stated, then each start has an id. */
+  std::string id;  ///< A process may restart under the same id.
+  /** When the process started, Unix milliseconds by its own clock;
+   * distinguishes two starts under one id. 0: not stated; each start then has
+   * an id of its own. */
   int64_t started_unix_ms = 0;
   std::string service;
-  std::string address;  ///< "ip:port"; may be used again by another service.
+  std::string address;  ///< "ip:port"; may be reused by another service.
   std::string zone;
   int slots = 1;
   bool draining = false;
-  /** How much longer it was slow and bore little, when it wrote its entry. */
+  /** Remaining time for which the process is cold (slow, with low capacity
+   * after its start), as of when it wrote its entry. */
   std::chrono::milliseconds cold_left{0};
 };
 
-/** One upstream as this instance sees it: its entry and its own history. */
+/** One upstream as seen by this instance: its entry and the history of the
+ * exchanges with it. */
 struct Upstream {
   UpstreamEntry entry;
-  bool listed = true;  ///< False once its entry is gone.
-  /** It has started again under its id, as another Upstream: what it held is
-   * gone, and its address may serve later results under earlier names. */
+  bool listed = true;  ///< False once UpstreamTable has dropped it.
+  /** The process has restarted under its id, as another Upstream: its results
+   * are lost, and its address may serve new results under old names. */
   bool restarted = false;
-  bool evacuated = false;  ///< Its zone is to get nothing new.
-  /** Its entry vanished with the store; kept till then, unless it returns. */
-  Clock::time_point lapses_at = Clock::time_point::max();
+  bool evacuated = false;  ///< Its zone is evacuated: it receives no new work.
+  /** When the upstream is dropped: its entry was removed or is missing from a
+   * list, and may be written again until then. `max()`: the entry exists. */
+  Clock::time_point expires_at = Clock::time_point::max();
 
-  Clock::time_point cold_till;  ///< Known to be cold till then.
-  RecentSends sends;  ///< Sent by us, or by others as we told them to.
-  int in_flight = 0;  ///< Our requests open to it.
-  double pending_prompt_ms = 0;  ///< Prompt reading we have asked of it.
-  /** Requests of all instances that we have placed on it, if we place those of
-   * its service; see PlacementBook. */
+  Clock::time_point cold_until;  ///< End of its cold phase, as far as known.
+  /** Requests that this instance sent, or other instances sent as this one had
+   * placed them. */
+  RecentSends sends;
+  int in_flight = 0;  ///< Requests of this instance that are in flight to it.
+  double pending_prompt_ms = 0;  ///< Prompt reading of those, ms.
+  /** Requests of all instances placed on it by this instance, if this instance
+   * owns the placements; see PlacementTracker. */
   int placed = 0;
-  double placed_prompt_ms = 0;     ///< Prompt reading that these ask of it.
-  double latency_ms = 0;           ///< Moving average to the first byte.
-  int reported_load = 0;           ///< Its last report: running and waiting.
-  int failures = 0;                ///< Requests failed in a row.
-  double failure_rate = 0;         ///< Moving average, 0 to 1.
-  Clock::time_point ejected_till;  ///< Not chosen before, after failures.
-  Clock::time_point full_till;     ///< Refused as full; not chosen before.
-  int connections = 0;             ///< Ours open to it.
+  double placed_prompt_ms = 0;  ///< Prompt reading of the placed requests, ms.
+  double latency_ms = 0;        ///< Moving average to the first byte.
+  int reported_load = 0;    ///< Running and waiting requests, last reported.
+  int failures = 0;         ///< Consecutive failed requests.
+  double failure_rate = 0;  ///< Moving average, 0 to 1.
+  Clock::time_point ejected_until;  ///< Avoided until then, after failures.
+  Clock::time_point full_until;     ///< Avoided until then: it was full.
+  int connections = 0;              ///< Connections of this instance to it.
 };
 
 using UpstreamPtr = std::shared_ptr<Upstream>;
 
-/** How one exchange with an upstream ended, for its history. */
+/** The outcome of one exchange with an upstream, for its history. */
 enum class Outcome {
-  kAnswered,  ///< A whole answer that is its own.
-  kError,     ///< The upstream answered with a failure of its own.
-  kRefused,   ///< Said it did not run the request: full or leaving.
-  kNotSent,   ///< No connection.
-  kBroken,    ///< Cut, malformed, or another request's answer.
-  kTimeout,   ///< Silent until we gave up.
+  kAnswered,  ///< A complete answer to the request.
+  kError,     ///< The upstream answered with an error of its own.
+  kRefused,   ///< Did not run the request because it is full or leaving.
+  kNotSent,   ///< No connection could be made.
+  kBroken,    ///< Truncated, malformed, or another request's answer.
+  kTimeout,   ///< No answer within the timeout.
 };
 
 /**
- * Updates an upstream's history; ejects one that fails in a row or more
- * often than it answers.
- * @param upstream the upstream. @param outcome how the exchange ended.
- * @param ms time to the answer's first byte. @param now the time.
+ * Updates an upstream's history. Ejects an upstream (marks it as avoided for a
+ * while) after a failed connection, several consecutive failures, or a high
+ * failure rate.
+ * @param upstream the upstream. @param outcome of the exchange.
+ * @param ms time to the answer's first byte. @param now current time.
  */
 void NoteOutcome(Upstream& upstream, Outcome outcome, double ms,
                  Clock::time_point now);
 
 /**
- * @param upstream an upstream. @param now the time.
- * @return true if it may be given new work as far as its entry goes.
+ * @param upstream an upstream. @param now current time.
+ * @return true if its entry allows new work: it exists, does not drain and is
+ *     in no evacuated zone. Its history is not considered.
  */
 bool IsListed(const Upstream& upstream, Clock::time_point now);
 
 /**
- * @param upstreams of a service. @param now the time.
- * @return true if any may be given new work as far as its entry goes.
+ * @param upstreams of a service. @param now current time.
+ * @return true if IsListed holds for any of them.
  */
 bool AnyListed(std::span<const UpstreamPtr> upstreams, Clock::time_point now);
 
 /**
- * @param upstream an upstream. @param now the time.
- * @return true if its history speaks against giving it work now.
+ * @param upstream an upstream. @param now current time.
+ * @return true if it is ejected or was full a moment ago; such an upstream is
+ *     used only if no other is left.
  */
 bool IsAvoided(const Upstream& upstream, Clock::time_point now);
 
--- a/libs/routing/include/turmeric/routing/upstream_clock.h
+++ b/libs/routing/include/turmeric/routing/upstream_clock.h
@@ -4,7 +4,7 @@
 
 namespace turmeric::routing {
 
-/** The clock upstream state is kept by. */
+/** The clock of all times in the state of upstreams. */
 using Clock = std::chrono::steady_clock;
 
 }  // namespace turmeric::routing
--- a/libs/routing/include/turmeric/routing/upstream_table.h
+++ b/libs/routing/include/turmeric/routing/upstream_table.h
@@ -16,60 +16,64 @@
 namespace turmeric::routing {
 
 /**
- * The upstreams known to this instance, by id and by service. Fed by a list
- * and its changes; keeps an upstream's history for as long as anyone holds
- * it. Time is passed in.
+ * The upstreams known to this instance, by id and by service. Updated from the
+ * store's list and its changes. Holders of an UpstreamPtr keep an upstream's
+ * history alive after it was dropped here. The caller passes in the time.
  */
 class UpstreamTable {
  public:
-  /** Called when an upstream may get no more work (left or leaving). */
+  /** Called when an upstream starts to drain, and when it is dropped. */
   using LeaveCallback = std::function<void(const UpstreamPtr&)>;
 
   /** @param callback see LeaveCallback. */
   void set_on_leave(LeaveCallback callback) { on_leave_ = std::move(callback); }
   /**
    * Applies one entry. A later start under a known id is a new upstream
-   * without history; an earlier start than the known one changes nothing, and
-   * one that has begun to leave goes on leaving.
+   * without history; an earlier start than the known one is ignored. An
+   * upstream that drains stays draining until it restarts.
    * @param entry the entry, as listed.
    */
   void Put(const UpstreamEntry& entry);
   /**
-   * Applies one entry of a store that came back from an older copy. An upstream
-   * that has left stays away, unless the entry changes again or is still there
-   * when it would have lapsed.
-   * @param entry the entry, as listed. @param till when it would have.
+   * Applies one entry of a store that was restored from an older copy. The
+   * entry of an upstream that has left does not add the upstream again, unless
+   * the entry is written again or still exists at `until`.
+   * @param entry the entry, as listed. @param until when an entry that its
+   *     process does not renew would have lapsed.
    */
-  void PutFromCopy(const UpstreamEntry& entry, Clock::time_point till);
+  void PutFromCopy(const UpstreamEntry& entry, Clock::time_point until);
   /**
-   * An entry was removed.
-   * @param id its id. @param keep_till still used till then: an entry that
-   *     lapsed while the store was away may come back.
+   * Applies the removal of an entry.
+   * @param id of the upstream. @param keep_until the upstream is used until
+   *     then: an entry that lapsed while the store was unreachable may be
+   *     written again.
    */
-  void Remove(std::string_view id, Clock::time_point keep_till);
+  void Remove(std::string_view id, Clock::time_point keep_until);
   /**
-   * Replaces everything by a full list.
-   * @param entries the list. @param keep_till as for Remove, for entries
-   *     that the list lacks. @param copy_till as for PutFromCopy, if the store
-   *     came back from an older copy.
+   * Applies a full list.
+   * @param entries the list. @param keep_until as for Remove, for entries
+   *     missing from the list. @param copy_until as for PutFromCopy, if the
+   *     store was restored from an older copy.
    */
   void ReplaceAll(std::span<const UpstreamEntry> entries,
-                  Clock::time_point keep_till,
-                  std::optional<Clock::time_point> copy_till = std::nullopt);
+                  Clock::time_point keep_until,
+                  std::optional<Clock::time_point> copy_until = std::nullopt);
   /**
-   * @param zones whose upstreams, those of now and those to come, get nothing
-   *     new; the upstreams of other zones are used again.
+   * Sets the evacuated zones.
+   * @param zones whose upstreams, present and future, receive no new work; the
+   *     upstreams of all other zones may be used.
    */
   void SetEvacuated(std::set<std::string, std::less<>> zones);
-  /** @return the zones that were set. */
+  /** @return the evacuated zones. */
   const std::set<std::string, std::less<>>& evacuated() const {
     return evacuated_;
   }
   /** @param zone an availability zone. @return its upstreams. */
   std::vector<UpstreamPtr> InZone(std::string_view zone) const;
-  /** Drops entries whose time has run out. @param now the time. */
+  /** Drops expired upstreams, and adds those of unconfirmed entries that still
+   * exist at their time. @param now current time. */
   void Expire(Clock::time_point now);
-  /** @param service its name. @return its upstreams, leaving ones too. */
+  /** @param service its name. @return its upstreams, draining ones too. */
   std::span<const UpstreamPtr> ForService(const std::string& service) const;
   /** @param id an upstream. @return it, or nullptr. */
   UpstreamPtr Find(std::string_view id) const;
@@ -77,25 +81,26 @@
    * @return the service's upstream there, or nullptr. */
   UpstreamPtr FindAt(const std::string& service,
                      std::string_view address) const;
-  /** @return entries held. */
+  /** @return upstreams in the table. */
   size_t size() const { return by_id_.size(); }
 
  private:
-  /** An entry of an older copy, of an upstream that has left. */
-  struct Doubted {
+  /** An entry from an older copy of the store, of an upstream that has left. */
+  struct UnconfirmedEntry {
     UpstreamEntry entry;
-    Clock::time_point till;
+    Clock::time_point until;
   };
 
   void Add(const UpstreamEntry& entry);
   void Drop(UpstreamPtr upstream);
-  void NoteLeft(const UpstreamEntry& entry, Clock::time_point now);
+  void NoteDeparture(const UpstreamEntry& entry, Clock::time_point now);
 
   LeaveCallback on_leave_;
   std::map<std::string, UpstreamPtr, std::less<>> by_id_;
-  /** When the upstreams left that did so lately, by start. */
-  std::map<std::pair<std::string, int64_t>, Clock::time_point> left_;
-  std::map<std::string, Doubted, std::less<>> doubted_;  ///< By id.
+  /** When upstreams left recently, by id and process start. */
+  std::map<std::pair<std::string, int64_t>, Clock::time_point> departures_;
+  /** Unconfirmed entries by upstream id. */
+  std::map<std::string, UnconfirmedEntry, std::less<>> unconfirmed_;
   std::unordered_map<std::string, std::vector<UpstreamPtr>> by_service_;
   std::set<std::string, std::less<>> evacuated_;
 };
--- a/libs/routing/src/choice.cc
+++ b/libs/routing/src/choice.cc
@@ -8,22 +8,22 @@
 
 namespace {
 
-/** How much dearer reading a part again is than the time it takes: the
- * engine's other requests wait for it too. */
-constexpr double kReadAgainFactor = 2.0;
-/** How much of the time to read its parts the engine that hashing gives is
- * preferred by for a session that is not known: an owner that has just become
- * one then finds most sessions where the owner before has placed them. */
-constexpr double kHomeFactor = 1.0;
-/** Upstreams that share a first part: half of them, and no fewer than this.
- * Enough for a burst of its requests, few enough that not every engine reads
- * every part. */
-constexpr size_t kLeastGroup = 6;
-/** Waiting that one open request adds for a new one on an engine, ms: the
- * engine's step grows a little with each. */
-constexpr double kInFlightMs = 2.0;
-
-/** FNV-1a, then a finaliser so that similar keys spread. */
+/** Cost of reading a part that an engine does not hold, relative to the time
+ * that it takes: the engine's other requests wait for it too. */
+constexpr double kUncachedReadFactor = 2.0;
+/** Preference for the home engine of a session that is not in the prompt
+ * memory, as a factor on the time to read its parts: a new owner then sends
+ * most sessions to the engines on which the previous owner has placed them. */
+constexpr double kHomePreference = 1.0;
+/** Least number of upstreams that serve the requests with one shared part; half
+ * of the service's upstreams if that is more. Enough for a burst of its
+ * requests, few enough that not every engine reads every part. */
+constexpr size_t kMinGroupSize = 6;
+/** Waiting time that each open request adds for a new one on an engine, ms: the
+ * duration of the engine's step grows a little with each. */
+constexpr double kWaitPerRequestMs = 2.0;
+
+/** FNV-1a with a finaliser that spreads similar keys. */
 uint64_t Hash(std::string_view text, uint64_t seed) {
   uint64_t h = 1469598103934665603ULL ^ seed;
   for (const char c : text) {
@@ -40,17 +40,18 @@
   return std::ranges::find(tried, id) != tried.end();
 }
 
-/** @return time to read the prompts that wait at the engine, ms. Ours are among
- * those placed, if we place the service's requests. */
-double PromptWait(const Upstream& u) {
+/** @return time to read the prompts that wait at the engine, ms. If this
+ * instance owns the placements, the placed requests include its own. */
+double PromptWaitMs(const Upstream& u) {
   return std::max(u.pending_prompt_ms, u.placed_prompt_ms);
 }
 
-/** Waiting a request would meet, in ms; also used for plain services, where
- * an open request costs its share of the measured latency. */
+/** @return expected waiting time of a request, in ms. For requests without a
+ * prompt, each open request adds its share of the measured latency. */
 double LoadCost(const Upstream& u, const ChoiceRequest& request) {
   if (request.has_prompt) {
-    return PromptWait(u) + kInFlightMs * std::max(u.in_flight, u.placed);
+    return PromptWaitMs(u) +
+           kWaitPerRequestMs * std::max(u.in_flight, u.placed);
   }
   const double busy =
       static_cast<double>(u.in_flight) / std::max(1, u.entry.slots);
@@ -63,7 +64,8 @@
   return Hash(member, Hash(key, 0));
 }
 
-double UnheldMs(const ChoiceRequest& request, const Upstream& upstream) {
+double UncachedPromptMs(const ChoiceRequest& request,
+                        const Upstream& upstream) {
   const double all = request.shared_ms + request.session_ms;
   if (request.memory == nullptr) return all;
   const std::string& id = upstream.entry.id;
@@ -74,12 +76,12 @@
 
 namespace {
 
-/** What may be chosen from, and who holds the request's prompt parts. */
+/** The upstreams to choose from, and those with affinity to the request. */
 struct Candidates {
   std::vector<UpstreamPtr> usable;
-  std::vector<UpstreamPtr> group;  ///< Hold the shared part.
-  UpstreamPtr home;                ///< Holds the session's part.
-  bool session_known = false;      ///< The memory says who holds it.
+  std::vector<UpstreamPtr> group;  ///< Serve the shared part, by hashing.
+  UpstreamPtr home;                ///< Serves the session, by hashing.
+  bool session_held = false;       ///< The prompt memory has the session.
 };
 
 Candidates FindCandidates(std::span<const UpstreamPtr> upstreams,
@@ -101,7 +103,7 @@
   };
   std::ranges::sort(found.group, std::ranges::greater(),
                     weight(request.shared_part));
-  const size_t size = std::max(kLeastGroup, found.group.size() / 2);
+  const size_t size = std::max(kMinGroupSize, found.group.size() / 2);
   if (found.group.size() > size) found.group.resize(size);
   const auto home =
       std::ranges::max_element(found.group, {}, weight(request.session_part));
@@ -109,8 +111,8 @@
   return found;
 }
 
-/** @return true if one of the usable engines is known to hold the session. */
-bool IsSessionKnown(const Candidates& found, const ChoiceRequest& request) {
+/** @return true if a usable engine is expected to hold the session's part. */
+bool IsSessionHeld(const Candidates& found, const ChoiceRequest& request) {
   return std::ranges::any_of(found.usable, [&](const UpstreamPtr& u) {
     return request.memory->Holds(u->entry.id, request.session_part);
   });
@@ -119,15 +121,17 @@
 double ReadCost(const Candidates& found, const ChoiceRequest& request,
                 const UpstreamPtr& upstream) {
   if (request.memory != nullptr) {
-    const double unheld = kReadAgainFactor * UnheldMs(request, *upstream);
-    const bool may_hold = !found.session_known && upstream == found.home &&
-                          PromptWait(*upstream) == 0;
-    if (!may_hold) return unheld;
-    return unheld - kHomeFactor * (request.shared_ms + request.session_ms);
+    const double uncached_cost =
+        kUncachedReadFactor * UncachedPromptMs(request, *upstream);
+    const bool may_hold = !found.session_held && upstream == found.home &&
+                          PromptWaitMs(*upstream) == 0;
+    if (!may_hold) return uncached_cost;
+    return uncached_cost -
+           kHomePreference * (request.shared_ms + request.session_ms);
   }
   if (!found.home || upstream == found.home) return 0;
   const bool in_group = std::ranges::count(found.group, upstream) > 0;
-  return kReadAgainFactor *
+  return kUncachedReadFactor *
          (request.session_ms + (in_group ? 0 : request.shared_ms));
 }
 
@@ -138,10 +142,11 @@
   return FindCandidates(upstreams, request, now).home;
 }
 
-UpstreamPtr ChooseApart(std::span<const UpstreamPtr> upstreams,
-                        std::string_view work,
-                        std::span<const std::string> tried,
-                        Clock::time_point now, const Admits& admits) {
+UpstreamPtr ChooseByFingerprint(std::span<const UpstreamPtr> upstreams,
+                                std::string_view work,
+                                std::span<const std::string> tried,
+                                Clock::time_point now,
+                                const UpstreamFilter& admits) {
   ChoiceRequest request;
   request.tried = tried;
   request.admits = admits;
@@ -158,7 +163,7 @@
                            Clock::time_point now) {
   Candidates found = FindCandidates(upstreams, request, now);
   if (request.memory != nullptr) {
-    found.session_known = IsSessionKnown(found, request);
+    found.session_held = IsSessionHeld(found, request);
   }
   UpstreamPtr best;
   double best_cost = std::numeric_limits<double>::max();
@@ -168,7 +173,7 @@
     if (!request.zone.empty() && u->entry.zone != request.zone) {
       cost += request.zone_cost_ms;
     }
-    // Ties are broken by a hash that changes with the load, not by order.
+    // Breaks ties by a hash that changes with the load, not by list order.
     const uint64_t tie =
         RendezvousWeight(std::to_string(u->in_flight), u->entry.id);
     if (cost < best_cost || (cost == best_cost && tie > best_tie)) {
--- a/libs/routing/src/cold_limit.cc
+++ b/libs/routing/src/cold_limit.cc
@@ -9,11 +9,11 @@
 
 namespace {
 
-/** Parts of a bound. An owner's, those of kSuccessors and that of all that
- * choose alone are no more than one together. */
-constexpr double kOwnerPart = 0.46;
-constexpr double kNewOwnerPart = 0.14;
-constexpr double kAlonePart = 0.12;
+/** Fractions of a bound by role. One owner, kMaxSuccessors new owners and all
+ * uncoordinated instances together use at most the whole bound. */
+constexpr double kOwnerFraction = 0.46;
+constexpr double kNewOwnerFraction = 0.14;
+constexpr double kUncoordinatedFraction = 0.12;
 
 }  // namespace
 
@@ -22,31 +22,31 @@
   return static_cast<int>(std::floor(per_s * tolerance.over + tolerance.slack));
 }
 
-int ShareOfBound(int bound, SendGround ground) {
+int ShareOfBound(int bound, SenderRole role) {
   const auto part = [bound](double of) { return static_cast<int>(bound * of); };
-  switch (ground) {
-    case SendGround::kOwner:
-      return part(kOwnerPart);
-    case SendGround::kNewOwner:
-      return part(kNewOwnerPart);
-    case SendGround::kAlone:
-      return part(kAlonePart);
+  switch (role) {
+    case SenderRole::kOwner:
+      return part(kOwnerFraction);
+    case SenderRole::kNewOwner:
+      return part(kNewOwnerFraction);
+    case SenderRole::kUncoordinated:
+      return part(kUncoordinatedFraction);
     default:
       return bound;
   }
 }
 
-bool IsSuccessor(std::string_view part, std::string_view self,
+bool IsSuccessor(std::string_view shard, std::string_view self,
                  const std::set<std::string, std::less<>>& others) {
-  const uint64_t own = RendezvousWeight(part, self);
+  const uint64_t own = RendezvousWeight(shard, self);
   const auto before = std::ranges::count_if(others, [&](const auto& other) {
-    return RendezvousWeight(part, other) > own;
+    return RendezvousWeight(shard, other) > own;
   });
-  return before < kSuccessors;
+  return before < kMaxSuccessors;
 }
 
-int DealtShare(int share, std::string_view upstream, std::string_view self,
-               const std::set<std::string, std::less<>>& others) {
+int InstanceShare(int share, std::string_view upstream, std::string_view self,
+                  const std::set<std::string, std::less<>>& others) {
   const auto instances = static_cast<int>(others.size()) + 1;
   const int even = share / instances;
   int first_ones = share % instances;
--- a/libs/routing/src/prompt_memory.cc
+++ b/libs/routing/src/prompt_memory.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-/** Share of an engine's memory that shared parts fill: running requests take
+/** Fraction of an engine's memory that prompt parts fill: running requests use
  * the rest. */
-constexpr double kShareForParts = 0.5;
-/** Parts remembered of one engine, whatever their stated size: bounds the
- * memory that callers can make this process use. */
-constexpr size_t kMostParts = 2000;
+constexpr double kPartsFraction = 0.5;
+/** Most parts recorded for one engine, whatever their stated size: bounds the
+ * memory of this process that callers can consume. */
+constexpr size_t kMaxPartsPerEngine = 2000;
 
 }  // namespace
 
@@ -28,10 +28,10 @@
   held.by_use.push_front({name, tokens});
   held.by_part[name] = held.by_use.begin();
   held.tokens += tokens;
-  const auto most =
-      static_cast<int64_t>(kShareForParts * static_cast<double>(capacity));
-  while (held.by_use.size() > 1 &&
-         (held.tokens > most || held.by_use.size() > kMostParts)) {
+  const auto max_tokens =
+      static_cast<int64_t>(kPartsFraction * static_cast<double>(capacity));
+  while (held.by_use.size() > 1 && (held.tokens > max_tokens ||
+                                    held.by_use.size() > kMaxPartsPerEngine)) {
     held.tokens -= held.by_use.back().tokens;
     held.by_part.erase(held.by_use.back().part);
     held.by_use.pop_back();
@@ -43,7 +43,7 @@
   return it != engines_.end() && it->second.by_part.contains(std::string(part));
 }
 
-void PromptMemory::Forget(std::string_view engine) {
+void PromptMemory::RemoveEngine(std::string_view engine) {
   const auto it = engines_.find(engine);
   if (it != engines_.end()) engines_.erase(it);
 }
--- a/libs/routing/src/upstream_table.cc
+++ b/libs/routing/src/upstream_table.cc
@@ -6,8 +6,9 @@
 
 namespace {
 
-/** An upstream that left longer ago is not in a copy of some seconds ago. */
-constexpr std::chrono::minutes kLeftRemembered{2};
+/** How long departures are kept: an older copy of the store is some seconds
+ * old, and does not list an upstream that left longer ago. */
+constexpr std::chrono::minutes kDepartureRetention{2};
 
 }  // namespace
 
@@ -20,96 +21,97 @@
 }
 
 void UpstreamTable::Put(const UpstreamEntry& entry) {
-  doubted_.erase(entry.id);
+  unconfirmed_.erase(entry.id);
   const UpstreamPtr upstream = Find(entry.id);
   if (!upstream) return Add(entry);
   const int64_t known_start = upstream->entry.started_unix_ms;
-  // Guard: what an earlier start said arrives late, after its process has
-  // started again. Taken as news, it would drain the process that runs now or
-  // bring back an address that it has left.
+  // Guard: an entry of an earlier start can arrive after the process has
+  // restarted. If applied, it would drain the running process or restore an
+  // address that it no longer uses.
   if (entry.started_unix_ms < known_start) return;
   if (entry.started_unix_ms > known_start) {
-    // Guard: the process knows nothing of before. With its history kept, it
-    // would stay ejected for failures of its earlier start, and its memory
-    // would count as full of results that are gone.
+    // Guard: a restarted process has none of its earlier state. With the old
+    // history, it would stay ejected for failures of its earlier start, and its
+    // memory would count as full of results that are lost.
     upstream->restarted = true;
     Drop(upstream);
     return Add(entry);
   }
   const bool leaves = entry.draining && !upstream->entry.draining;
-  // Guard: a store that came back from an older copy lists it as it was before.
+  // Guard: a store restored from an older copy may list it as not yet draining.
   upstream->entry.draining = upstream->entry.draining || entry.draining;
   upstream->entry.slots = entry.slots;
   upstream->entry.cold_left = entry.cold_left;
-  upstream->lapses_at = Clock::time_point::max();
+  upstream->expires_at = Clock::time_point::max();
   if (leaves && on_leave_) on_leave_(upstream);
 }
 
 void UpstreamTable::PutFromCopy(const UpstreamEntry& entry,
-                                Clock::time_point till) {
-  const bool has_left = left_.contains({entry.id, entry.started_unix_ms});
+                                Clock::time_point until) {
+  const bool has_left = departures_.contains({entry.id, entry.started_unix_ms});
   if (Find(entry.id) || !has_left) return Put(entry);
-  doubted_.insert_or_assign(entry.id, Doubted{entry, till});
+  unconfirmed_.insert_or_assign(entry.id, UnconfirmedEntry{entry, until});
 }
 
-void UpstreamTable::NoteLeft(const UpstreamEntry& entry,
-                             Clock::time_point now) {
-  std::erase_if(left_, [now](const auto& left) {
-    return left.second + kLeftRemembered < now;
+void UpstreamTable::NoteDeparture(const UpstreamEntry& entry,
+                                  Clock::time_point now) {
+  std::erase_if(departures_, [now](const auto& departure) {
+    return departure.second + kDepartureRetention < now;
   });
-  left_[{entry.id, entry.started_unix_ms}] = now;
+  departures_[{entry.id, entry.started_unix_ms}] = now;
 }
 
 void UpstreamTable::Drop(UpstreamPtr upstream) {
   upstream->listed = false;
-  auto& of_service = by_service_[upstream->entry.service];
-  std::erase(of_service, upstream);
+  auto& service_upstreams = by_service_[upstream->entry.service];
+  std::erase(service_upstreams, upstream);
   by_id_.erase(upstream->entry.id);
   if (on_leave_) on_leave_(upstream);
 }
 
-void UpstreamTable::Remove(std::string_view id, Clock::time_point keep_till) {
-  const auto doubted = doubted_.find(id);
-  if (doubted != doubted_.end()) doubted_.erase(doubted);
+void UpstreamTable::Remove(std::string_view id, Clock::time_point keep_until) {
+  const auto unconfirmed = unconfirmed_.find(id);
+  if (unconfirmed != unconfirmed_.end()) unconfirmed_.erase(unconfirmed);
   const UpstreamPtr upstream = Find(id);
   if (!upstream) return;
-  upstream->lapses_at = std::min(upstream->lapses_at, keep_till);
+  upstream->expires_at = std::min(upstream->expires_at, keep_until);
 }
 
 void UpstreamTable::ReplaceAll(std::span<const UpstreamEntry> entries,
-                               Clock::time_point keep_till,
-                               std::optional<Clock::time_point> copy_till) {
+                               Clock::time_point keep_until,
+                               std::optional<Clock::time_point> copy_until) {
   std::set<std::string_view> listed;
   for (const UpstreamEntry& entry : entries) {
     listed.insert(entry.id);
-    // A list alone does not say that a doubted entry was written again.
-    if (doubted_.contains(entry.id)) continue;
-    copy_till ? PutFromCopy(entry, *copy_till) : Put(entry);
+    // That an unconfirmed entry is listed does not mean that it was written
+    // again.
+    if (unconfirmed_.contains(entry.id)) continue;
+    copy_until ? PutFromCopy(entry, *copy_until) : Put(entry);
   }
-  std::erase_if(doubted_, [&](const auto& doubted) {
-    return !listed.contains(doubted.first);
+  std::erase_if(unconfirmed_, [&](const auto& unconfirmed) {
+    return !listed.contains(unconfirmed.first);
   });
   for (const auto& [id, upstream] : by_id_) {
     if (!listed.contains(id)) {
-      upstream->lapses_at = std::min(upstream->lapses_at, keep_till);
+      upstream->expires_at = std::min(upstream->expires_at, keep_until);
     }
   }
 }
 
 void UpstreamTable::Expire(Clock::time_point now) {
-  std::vector<UpstreamPtr> gone;
+  std::vector<UpstreamPtr> expired;
   for (const auto& [id, upstream] : by_id_) {
-    if (upstream->lapses_at <= now) gone.push_back(upstream);
+    if (upstream->expires_at <= now) expired.push_back(upstream);
   }
-  for (const UpstreamPtr& u : gone) {
-    NoteLeft(u->entry, now);
+  for (const UpstreamPtr& u : expired) {
+    NoteDeparture(u->entry, now);
     Drop(u);
   }
-  std::vector<UpstreamEntry> alive;
-  for (const auto& [id, doubted] : doubted_) {
-    if (doubted.till <= now) alive.push_back(doubted.entry);
+  std::vector<UpstreamEntry> confirmed;
+  for (const auto& [id, unconfirmed] : unconfirmed_) {
+    if (unconfirmed.until <= now) confirmed.push_back(unconfirmed.entry);
   }
-  std::ranges::for_each(alive, [this](const auto& entry) { Put(entry); });
+  std::ranges::for_each(confirmed, [this](const auto& entry) { Put(entry); });
 }
 
 void UpstreamTable::SetEvacuated(std::set<std::string, std::less<>> zones) {
--- a/libs/routing/test/choice_test.cc
+++ b/libs/routing/test/choice_test.cc
@@ -9,7 +9,7 @@
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using turmeric::routing::ChoiceRequest;
-using turmeric::routing::ChooseApart;
+using turmeric::routing::ChooseByFingerprint;
 using turmeric::routing::ChooseUpstream;
 using turmeric::routing::Clock;
 using turmeric::routing::HomeUpstream;
@@ -34,7 +34,7 @@
   return all;
 }
 
-ChoiceRequest Prompt(std::string_view shared, std::string_view session) {
+ChoiceRequest PromptRequest(std::string_view shared, std::string_view session) {
   ChoiceRequest request;
   request.has_prompt = true;
   request.shared_part = shared;
@@ -46,9 +46,9 @@
 
 }  // namespace
 
-TEST_CASE("a session keeps its upstream while that is not overloaded") {
+TEST_CASE("a session keeps its upstream until the upstream is overloaded") {
   const auto all = MakeUpstreams(12);
-  const auto request = Prompt("part", "session");
+  const auto request = PromptRequest("part", "session");
   const UpstreamPtr home = HomeUpstream(all, request, kNow);
   REQUIRE(ChooseUpstream(all, request, kNow) == home);
   home->pending_prompt_ms = 150;
@@ -57,21 +57,22 @@
   REQUIRE(ChooseUpstream(all, request, kNow) != home);
 }
 
-// Story: engines read the same long shared part again and again, each its
-// own copy, because sessions were spread over all of them by their own part
-// alone. Sessions with one shared part must meet on a few engines.
-TEST_CASE("sessions of one shared part live on few upstreams") {
+// Guards against every engine reading the same long shared part: if sessions
+// are spread by their session part alone, they use all engines, and each engine
+// reads its own copy. Sessions with one shared part must use a few engines.
+TEST_CASE("sessions with one shared part use few upstreams") {
   const auto all = MakeUpstreams(12);
   std::set<std::string> used;
   for (int i = 0; i < 100; ++i) {
     const std::string session = "s" + std::to_string(i);
-    used.insert(ChooseUpstream(all, Prompt("part", session), kNow)->entry.id);
+    used.insert(
+        ChooseUpstream(all, PromptRequest("part", session), kNow)->entry.id);
   }
   REQUIRE(used.size() <= 6);
   REQUIRE(used.size() > 1);
 }
 
-TEST_CASE("requests without affinity go where least is open") {
+TEST_CASE("requests without affinity go to the upstream with least in flight") {
   const auto all = MakeUpstreams(3);
   for (const auto& u : all) u->latency_ms = 50;
   all[0]->in_flight = 4;
@@ -90,10 +91,11 @@
   REQUIRE(ChooseUpstream(all, request, kNow) == nullptr);
 }
 
-// Story: an upstream process dies. Its list entry stays for seconds, and
-// each connection to it fails at once, so it looks like the idlest of all.
-// It must be left out after the first failure, and be used again later.
-TEST_CASE("an upstream that cannot be reached is left out for a while") {
+// Guards against sending to an upstream process that has crashed: its list
+// entry stays for seconds, and as each connection to it fails at once, it seems
+// to be the least loaded. It must be avoided after the first failure, and be
+// used again later.
+TEST_CASE("an unreachable upstream is avoided for a while") {
   const auto all = MakeUpstreams(2);
   NoteOutcome(*all[0], Outcome::kNotSent, 0, kNow);
   for (int i = 0; i < 10; ++i) {
@@ -103,32 +105,35 @@
   REQUIRE(ChooseUpstream(all, {}, kNow + 10s) == all[0]);
 }
 
-TEST_CASE("an avoided upstream is better than none") {
+TEST_CASE("an avoided upstream is chosen if no other is left") {
   const auto all = MakeUpstreams(1);
   NoteOutcome(*all[0], Outcome::kNotSent, 0, kNow);
   REQUIRE(ChooseUpstream(all, {}, kNow) == all[0]);
 }
 
-// Story: an upstream fails half of its requests while its health check is
-// good. Failures alternate with answers, so no three come in a row.
-TEST_CASE("an upstream that fails every other request is left out") {
+// Guards against an upstream that fails half of its requests while its health
+// check succeeds: failures alternate with answers, so there are never three
+// consecutive failures.
+TEST_CASE("an upstream that fails every other request is ejected") {
   const auto all = MakeUpstreams(1);
   for (int i = 0; i < 20; ++i) {
     NoteOutcome(*all[0], i % 2 == 0 ? Outcome::kError : Outcome::kAnswered, 10,
                 kNow);
-    if (kNow < all[0]->ejected_till) break;
+    if (kNow < all[0]->ejected_until) break;
   }
-  REQUIRE(kNow < all[0]->ejected_till);
+  REQUIRE(kNow < all[0]->ejected_until);
 }
 
-// Guards against the innocent that meet the cause of a crash again wherever
-// they are sent on, until they count as the cause themselves.
-TEST_CASE("works that were on one upstream when it ended part") {
+// Guards against harmless requests that run next to the cause of a crash again
+// on each upstream they are retried on, until they count as the cause too.
+TEST_CASE(
+    "requests of a crashed upstream are spread over the other upstreams") {
   const auto all = MakeUpstreams(12);
   const std::vector<std::string> tried{"i-3"};
   std::map<std::string, int> placed;
   for (int i = 0; i < 120; ++i) {
-    const auto u = ChooseApart(all, "work" + std::to_string(i), tried, kNow);
+    const auto u =
+        ChooseByFingerprint(all, "work" + std::to_string(i), tried, kNow);
     REQUIRE(u->entry.id != "i-3");
     ++placed[u->entry.id];
   }
@@ -137,19 +142,18 @@
       placed, [](const auto& entry) { return entry.second < 30; }));
 }
 
-TEST_CASE(
-    "work that is kept apart goes to no upstream that fails or has left") {
+TEST_CASE("choice by fingerprint excludes upstreams that fail or have left") {
   const auto all = MakeUpstreams(3);
-  const auto first = ChooseApart(all, "work", {}, kNow);
-  first->ejected_till = kNow + 1s;
-  const auto second = ChooseApart(all, "work", {}, kNow);
+  const auto first = ChooseByFingerprint(all, "work", {}, kNow);
+  first->ejected_until = kNow + 1s;
+  const auto second = ChooseByFingerprint(all, "work", {}, kNow);
   REQUIRE(second != first);
   second->listed = false;
-  const auto third = ChooseApart(all, "work", {}, kNow);
+  const auto third = ChooseByFingerprint(all, "work", {}, kNow);
   REQUIRE(third != second);
   REQUIRE(third != first);
   third->listed = false;
-  REQUIRE(ChooseApart(all, "work", {}, kNow) == first);
+  REQUIRE(ChooseByFingerprint(all, "work", {}, kNow) == first);
   first->listed = false;
-  REQUIRE(ChooseApart(all, "work", {}, kNow) == nullptr);
+  REQUIRE(ChooseByFingerprint(all, "work", {}, kNow) == nullptr);
 }
--- a/libs/routing/test/cold_limit_test.cc
+++ b/libs/routing/test/cold_limit_test.cc
@@ -9,10 +9,10 @@
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using turmeric::routing::ArrivalBound;
 using turmeric::routing::Clock;
-using turmeric::routing::DealtShare;
-using turmeric::routing::kSuccessors;
+using turmeric::routing::InstanceShare;
+using turmeric::routing::kMaxSuccessors;
 using turmeric::routing::RecentSends;
-using turmeric::routing::SendGround;
+using turmeric::routing::SenderRole;
 using turmeric::routing::ShareOfBound;
 
 namespace {
@@ -33,24 +33,24 @@
   REQUIRE_FALSE(ArrivalBound(0, {.over = 1.5, .slack = 5}));
 }
 
-// Guards against an owner, its successors and those that choose alone which
-// together send more than an upstream bears.
-TEST_CASE("shares of a bound stay within it") {
+// Guards against an owner, its successors and uncoordinated instances together
+// sending more than the bound of a cold upstream.
+TEST_CASE("the shares of all roles together stay within the bound") {
   for (int bound = 1; bound < 200; ++bound) {
-    REQUIRE(ShareOfBound(bound, SendGround::kOwner) +
-                kSuccessors * ShareOfBound(bound, SendGround::kNewOwner) +
-                ShareOfBound(bound, SendGround::kAlone) <=
+    REQUIRE(ShareOfBound(bound, SenderRole::kOwner) +
+                kMaxSuccessors * ShareOfBound(bound, SenderRole::kNewOwner) +
+                ShareOfBound(bound, SenderRole::kUncoordinated) <=
             bound);
   }
 }
 
-TEST_CASE("a dealt share is given out whole and no more") {
+TEST_CASE("the instances' parts of a share add up to the share") {
   for (const int instances : {1, 2, 6, 73, 300}) {
     for (const int share : {0, 1, 2, 17, 40}) {
       int dealt = 0;
       for (int i = 0; i < instances; ++i) {
-        dealt += DealtShare(share, "i-1", "entry-" + std::to_string(i),
-                            Others(instances, i));
+        dealt += InstanceShare(share, "i-1", "entry-" + std::to_string(i),
+                               Others(instances, i));
       }
       CAPTURE(instances, share);
       REQUIRE(dealt == share);
@@ -58,7 +58,7 @@
   }
 }
 
-TEST_CASE("sends count for their window") {
+TEST_CASE("sends count until their window has elapsed") {
   RecentSends sends;
   const Clock::time_point now(1h);
   sends.Note(now);
--- a/libs/routing/test/evacuated_zones_test.cc
+++ b/libs/routing/test/evacuated_zones_test.cc
@@ -16,8 +16,7 @@
 
 }  // namespace
 
-TEST_CASE(
-    "an evacuation stands until it is taken back, or longer if in doubt") {
+TEST_CASE("an evacuation is in force until the end time that was set") {
   EvacuatedZones zones;
   zones.Begin("zone-a");
   zones.Begin("zone-b");
@@ -31,8 +30,9 @@
   REQUIRE(zones.Zones(kNow + 24h).contains("zone-a"));
 }
 
-// Guards against an upstream that enters while its zone is evacuated.
-TEST_CASE("upstreams of an evacuated zone are not listed, new ones neither") {
+// Guards against new work for an upstream whose entry is added while its zone
+// is evacuated.
+TEST_CASE("present and new upstreams of an evacuated zone get no new work") {
   UpstreamTable table;
   table.Put({.id = "i-1", .service = "app", .address = "a", .zone = "zone-a"});
   table.SetEvacuated({"zone-a"});
--- a/libs/routing/test/fleet_size_test.cc
+++ b/libs/routing/test/fleet_size_test.cc
@@ -10,75 +10,84 @@
 
 const Clock::time_point kNow = Clock::time_point(100s);
 
-/** Reads the list every ten seconds, as an instance that stands in it does. */
-Clock::time_point ReadTill(FleetSize& fleet, int instances,
-                           Clock::time_point from, Clock::time_point till) {
+/** Records a read of the list every 10 s, by an instance that is listed.
+ * @return time of the last read. */
+Clock::time_point ReadListUntil(FleetSize& fleet, int instances,
+                                Clock::time_point from,
+                                Clock::time_point until) {
   auto at = from;
-  for (; at <= till; at += 10s) {
-    fleet.NoteList({.instances = instances, .lists_this_one = true}, at);
+  for (; at <= until; at += 10s) {
+    fleet.NoteList({.instances = instances, .self_listed = true}, at);
   }
   return at - 10s;
 }
 
 }  // namespace
 
-// Guards against an instance that starts and takes itself for the only one.
+// Guards against an instance that treats itself as the only one after its
+// start.
 TEST_CASE("no part is taken before the list is read") {
   const FleetSize fleet;
   REQUIRE(fleet.listed() == 0);
-  REQUIRE_FALSE(fleet.Parts(kNow).has_value());
+  REQUIRE_FALSE(fleet.Divisor(kNow).has_value());
 }
 
-// Guards against a part taken while others still divide by a fleet without
-// this instance.
-TEST_CASE("an instance that joins takes its part once all others know it") {
+// Guards against a part that is taken while other instances still divide by a
+// fleet size without this instance.
+TEST_CASE(
+    "an instance that joins takes its part once all others have read it") {
   FleetSize fleet;
-  fleet.NoteList({.instances = 8, .lists_this_one = false}, kNow);
+  fleet.NoteList({.instances = 8, .self_listed = false}, kNow);
   REQUIRE(fleet.listed() == 8);
-  const auto last = ReadTill(fleet, 8, kNow + 10s, kNow + 40s);
-  REQUIRE_FALSE(
-      fleet.Parts(kNow + 10s + FleetSize::kKnownToAll - 1ms).has_value());
-  REQUIRE(fleet.Parts(kNow + 10s + FleetSize::kKnownToAll) == 8);
-  REQUIRE(last < kNow + 10s + FleetSize::kKnownToAll + FleetSize::kListHolds);
+  const auto last = ReadListUntil(fleet, 8, kNow + 10s, kNow + 40s);
+  REQUIRE_FALSE(fleet.Divisor(kNow + 10s + FleetSize::kJoinVisibleAfter - 1ms)
+                    .has_value());
+  REQUIRE(fleet.Divisor(kNow + 10s + FleetSize::kJoinVisibleAfter) == 8);
+  REQUIRE(last <
+          kNow + 10s + FleetSize::kJoinVisibleAfter + FleetSize::kListValidity);
 }
 
-// Guards against instances that join while this one cannot read the list.
-TEST_CASE("an instance that is cut off from the list gives its part up") {
+// Guards against exceeding the fleet's bound when other instances join while
+// this one cannot read the list.
+TEST_CASE("an instance that cannot read the list takes no part") {
   FleetSize fleet;
-  const auto last = ReadTill(fleet, 7, kNow, kNow + 60s);
-  REQUIRE(fleet.Parts(last + FleetSize::kListHolds) == 7);
-  REQUIRE_FALSE(fleet.Parts(last + FleetSize::kListHolds + 1ms).has_value());
+  const auto last = ReadListUntil(fleet, 7, kNow, kNow + 60s);
+  REQUIRE(fleet.Divisor(last + FleetSize::kListValidity) == 7);
+  REQUIRE_FALSE(
+      fleet.Divisor(last + FleetSize::kListValidity + 1ms).has_value());
 }
 
-// Guards against a list that lacks entries for a moment, as one of a store that
-// came back from an older copy does.
-TEST_CASE("the largest list of late counts") {
+// Guards against a list in which entries are missing for a short time, as after
+// a store was restored from an older copy.
+TEST_CASE("the largest list within its validity counts") {
   FleetSize fleet;
-  const auto last = ReadTill(fleet, 7, kNow, kNow + 60s);
-  fleet.NoteList({.instances = 2, .lists_this_one = true}, last + 1s);
-  REQUIRE(fleet.Parts(last + 1s) == 7);
+  const auto last = ReadListUntil(fleet, 7, kNow, kNow + 60s);
+  fleet.NoteList({.instances = 2, .self_listed = true}, last + 1s);
+  REQUIRE(fleet.Divisor(last + 1s) == 7);
 }
 
-TEST_CASE("the first start of a whole fleet waits for all lists only") {
+TEST_CASE("the first start of a whole fleet waits only for the settle time") {
   FleetSize fleet(true);
-  fleet.NoteList({.instances = 7, .lists_this_one = true}, kNow);
-  REQUIRE_FALSE(fleet.Parts(kNow + FleetSize::kListSettles - 1ms).has_value());
-  REQUIRE(fleet.Parts(kNow + FleetSize::kListSettles) == 7);
+  fleet.NoteList({.instances = 7, .self_listed = true}, kNow);
+  REQUIRE_FALSE(
+      fleet.Divisor(kNow + FleetSize::kListSettleTime - 1ms).has_value());
+  REQUIRE(fleet.Divisor(kNow + FleetSize::kListSettleTime) == 7);
 }
 
-TEST_CASE("an instance without a fleet has the whole bound") {
+TEST_CASE("a single instance has the whole bound") {
   FleetSize fleet;
-  fleet.SetAlone();
-  REQUIRE(fleet.Parts(kNow) == 1);
+  fleet.SetSingleInstance();
+  REQUIRE(fleet.Divisor(kNow) == 1);
 }
 
-// Guards against a list of a few entries, read while the fleet enters itself.
-TEST_CASE("a list that is being written is not taken for the fleet") {
+// Guards against using a list that was read while the instances of a starting
+// fleet still add their entries.
+TEST_CASE("a list that is still being written gives no fleet size") {
   FleetSize fleet;
-  fleet.NoteList({.instances = 1, .lists_this_one = false}, kNow);
-  REQUIRE_FALSE(fleet.Settled(kNow).has_value());
-  fleet.NoteList({.instances = 100, .lists_this_one = true}, kNow + 6s);
+  fleet.NoteList({.instances = 1, .self_listed = false}, kNow);
+  REQUIRE_FALSE(fleet.SettledSize(kNow).has_value());
+  fleet.NoteList({.instances = 100, .self_listed = true}, kNow + 6s);
   REQUIRE_FALSE(
-      fleet.Settled(kNow + FleetSize::kListSettles - 1ms).has_value());
-  REQUIRE(fleet.Settled(kNow + FleetSize::kListSettles) == 100);
+      fleet.SettledSize(kNow + FleetSize::kListSettleTime - 1ms).has_value());
+  REQUIRE(fleet.SettledSize(kNow + FleetSize::kListSettleTime) == 100);
 }
--- a/libs/routing/test/placement_test.cc
+++ b/libs/routing/test/placement_test.cc
@@ -6,16 +6,16 @@
 #include <vector>
 
 #include "turmeric/routing/choice.h"
-#include "turmeric/routing/placement_book.h"
+#include "turmeric/routing/placement_tracker.h"
 #include "turmeric/routing/prompt_memory.h"
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using turmeric::routing::ChoiceRequest;
 using turmeric::routing::ChooseUpstream;
 using turmeric::routing::Clock;
-using turmeric::routing::PlacementBook;
+using turmeric::routing::PlacementTracker;
 using turmeric::routing::PromptMemory;
-using turmeric::routing::UnheldMs;
+using turmeric::routing::UncachedPromptMs;
 using turmeric::routing::Upstream;
 using turmeric::routing::UpstreamPtr;
 
@@ -34,7 +34,8 @@
   return engines;
 }
 
-/** Engines that read prompts one after the other, before many instances. */
+/** Simulates many instances that place requests on engines, which read prompts
+ * one after the other. */
 class EngineReplay {
  public:
   static constexpr size_t kEngines = 60;
@@ -42,19 +43,20 @@
   static constexpr double kSessionMs = 85;
   static constexpr double kSharedMs = 57;
   static constexpr double kOwnMs = 65;
-  /** Requests in a millisecond: a burst that asks two thirds of the engines'
+  /** Requests per millisecond: a burst that uses two thirds of the engines'
    * time. */
   static constexpr double kPerMs = 0.35;
 
-  /** @param one_owner places for all instances; else each for itself.
-   * @return the wait, in ms, that one request in ten exceeds. */
-  double WaitOfOneInTen(bool one_owner) {
+  /** @param one_owner true: one owner places the requests of all instances;
+   * false: each instance places its own.
+   * @return 90th percentile of the waiting time, ms. */
+  double WaitP90Ms(bool one_owner) {
     std::mt19937_64 random(7);
     const size_t views = one_owner ? 1 : kInstances;
     std::vector<std::vector<UpstreamPtr>> view;
     for (size_t i = 0; i < views; ++i) view.push_back(Engines(kEngines));
     std::vector<double> free_at(kEngines, 0);
-    std::vector<PromptMemory> read(kEngines);  // What engines really hold.
+    std::vector<PromptMemory> read(kEngines);  // The engines' actual content.
     PromptMemory memory;
     struct Open {
       double until;
@@ -68,7 +70,7 @@
       now += std::exponential_distribution<double>(kPerMs)(random);
       std::erase_if(open, [&](const Open& o) {
         if (o.until > now) return false;
-        Take(*o.engine, one_owner, -o.ms);
+        AddLoad(*o.engine, one_owner, -o.ms);
         return true;
       });
       const std::string shared = "shared" + std::to_string(random() % 4);
@@ -92,7 +94,7 @@
       }
       free_at[at] = std::max(free_at[at], now) + ms;
       waits.push_back(free_at[at] - now);
-      Take(*engine, one_owner, ms);
+      AddLoad(*engine, one_owner, ms);
       open.push_back({free_at[at], engine, ms});
     }
     std::ranges::sort(waits);
@@ -100,7 +102,7 @@
   }
 
  private:
-  static void Take(Upstream& engine, bool one_owner, double ms) {
+  static void AddLoad(Upstream& engine, bool one_owner, double ms) {
     const int one = ms > 0 ? 1 : -1;
     if (one_owner) {
       engine.placed_prompt_ms += ms;
@@ -114,56 +116,58 @@
 
 }  // namespace
 
-// Story: sixty instances send to sixty engines, each by what it has sent
-// itself: a sixtieth of the load. Their choices meet on the same engines, and
-// callers wait there for a second while most engines are idle. Placed by one
-// owner that sees every request, hardly any request waits for another.
-TEST_CASE("requests placed by one owner do not meet on the same engines") {
-  const double alone = EngineReplay().WaitOfOneInTen(false);
-  const double placed = EngineReplay().WaitOfOneInTen(true);
-  CAPTURE(alone, placed);
+// Guards against overloaded engines next to idle ones: if each of sixty
+// instances places requests by its own load only, a sixtieth of the total, many
+// choose the same engines, and callers wait there for a second while most
+// engines are idle. With one owner that places every request, hardly any
+// request waits for another.
+TEST_CASE("one owner spreads requests better than uncoordinated instances") {
+  const double uncoordinated = EngineReplay().WaitP90Ms(false);
+  const double placed = EngineReplay().WaitP90Ms(true);
+  CAPTURE(uncoordinated, placed);
   REQUIRE(placed < 250);
-  REQUIRE(alone > 2 * placed);
+  REQUIRE(uncoordinated > 2 * placed);
 }
 
-TEST_CASE("what was placed counts as load until it is told to have ended") {
+TEST_CASE("a placement counts as load until its end is reported") {
   const auto engines = Engines(1);
   Upstream& engine = *engines[0];
   {
-    PlacementBook book;
-    book.Add(1, engines[0], 200, kNow);
-    book.Add(2, engines[0], 100, kNow);
+    PlacementTracker tracker;
+    tracker.Add(1, engines[0], 200, kNow);
+    tracker.Add(2, engines[0], 100, kNow);
     REQUIRE(engine.placed == 2);
     REQUIRE(engine.placed_prompt_ms == Approx(300));
-    book.PromptRead(1);
-    book.PromptRead(1);
+    tracker.PromptRead(1);
+    tracker.PromptRead(1);
     REQUIRE(engine.placed_prompt_ms == Approx(100));
-    book.End(1);
-    book.End(1);
-    book.End(77);
+    tracker.End(1);
+    tracker.End(1);
+    tracker.End(77);
     REQUIRE(engine.placed == 1);
-    book.Add(2, engines[0], 50, kNow);  // Asked again by the same name.
+    tracker.Add(2, engines[0], 50, kNow);  // Replaces the same ticket.
     REQUIRE(engine.placed_prompt_ms == Approx(50));
   }
-  // The instance that asked is gone.
+  // The connection to the instance has closed, which destroys the tracker.
   REQUIRE(engine.placed == 0);
   REQUIRE(engine.placed_prompt_ms == Approx(0));
 }
 
-// Story: the frame that tells of a request's end is lost with its connection.
-// Counted for ever, the engine would seem loaded and get less than its part.
-TEST_CASE("placements whose end was never told lapse") {
+// Guards against placements that count as load for ever because the frame that
+// reports their end was lost with its connection: the engine would seem loaded
+// and receive less than its share.
+TEST_CASE("placements whose end was never reported expire") {
   const auto engines = Engines(1);
-  PlacementBook book;
-  book.Add(1, engines[0], 200, kNow);
-  book.Expire(kNow + 20s);
+  PlacementTracker tracker;
+  tracker.Add(1, engines[0], 200, kNow);
+  tracker.Expire(kNow + 20s);
   REQUIRE(engines[0]->placed == 1);
-  book.Expire(kNow + 31s);
+  tracker.Expire(kNow + 31s);
   REQUIRE(engines[0]->placed == 0);
-  REQUIRE(book.size() == 0);
+  REQUIRE(tracker.size() == 0);
 }
 
-TEST_CASE("the parts last used are remembered, within the engine's memory") {
+TEST_CASE("the most recently used parts are kept, within the engine's memory") {
   PromptMemory memory;
   memory.Note("i", "a", 400, 2000);
   memory.Note("i", "b", 400, 2000);
@@ -175,13 +179,13 @@
   REQUIRE_FALSE(memory.Holds("j", "a"));
   memory.Note("i", "", 400, 2000);
   REQUIRE(memory.size() == 2);
-  memory.Forget("i");
+  memory.RemoveEngine("i");
   REQUIRE_FALSE(memory.Holds("i", "a"));
 }
 
-// Story: callers state any parts they like; none of them may fill this
-// process's memory.
-TEST_CASE("parts remembered of one engine are bounded") {
+// Guards against callers that fill this process's memory with arbitrary part
+// ids.
+TEST_CASE("the number of parts recorded for one engine is bounded") {
   PromptMemory memory;
   for (int i = 0; i < 5000; ++i) {
     memory.Note("i", std::to_string(i), 1, 1 << 30);
@@ -206,7 +210,7 @@
   REQUIRE(ChooseUpstream(engines, request, kNow) != engines[1]);
 }
 
-TEST_CASE("a part is of use only if the parts before it are held too") {
+TEST_CASE("a held part saves time only if the parts before it are held too") {
   const auto engines = Engines(1);
   PromptMemory memory;
   ChoiceRequest request;
@@ -214,18 +218,19 @@
   request.session_part = "session";
   request.shared_ms = 50;
   request.session_ms = 80;
-  REQUIRE(UnheldMs(request, *engines[0]) == Approx(130));
+  REQUIRE(UncachedPromptMs(request, *engines[0]) == Approx(130));
   request.memory = &memory;
   memory.Note("i-0", "session", 3800, 370000);
-  REQUIRE(UnheldMs(request, *engines[0]) == Approx(130));
+  REQUIRE(UncachedPromptMs(request, *engines[0]) == Approx(130));
   memory.Note("i-0", "shared", 2500, 370000);
-  REQUIRE(UnheldMs(request, *engines[0]) == Approx(0));
+  REQUIRE(UncachedPromptMs(request, *engines[0]) == Approx(0));
   request.session_part = "other";
-  REQUIRE(UnheldMs(request, *engines[0]) == Approx(80));
+  REQUIRE(UncachedPromptMs(request, *engines[0]) == Approx(80));
 }
 
-// Guards against reading all prompts again when the owner of a cell restarts.
-TEST_CASE("a new owner finds most sessions where the one before placed them") {
+// Guards against engines reading all prompts again after the owner of a cell
+// restarts with an empty prompt memory.
+TEST_CASE("a new owner places most sessions as the previous owner did") {
   constexpr int kSessions = 400;
   const auto engines = Engines(60);
   PromptMemory memory;
@@ -247,7 +252,8 @@
       known.Note(engine->entry.id, session, 3800, 370000);
       return engine;
     };
-    // One engine in six is reading, another one for each owner.
+    // For one session in six, one engine is busy reading: a different engine
+    // for each owner.
     engines[i % 60]->placed_prompt_ms = i % 6 == 0 ? 90 : 0;
     const UpstreamPtr before = place(memory);
     engines[i % 60]->placed_prompt_ms = 0;
--- a/libs/routing/test/retry_allowance_test.cc
+++ b/libs/routing/test/retry_allowance_test.cc
@@ -13,8 +13,8 @@
 constexpr RetryBudgetLimits kLimits{.ratio = 0.2, .slack = 50, .window = 10s};
 constexpr double kNoSlack = 0;
 
-void Request(RetryAllowance& allowance, int requests, double slack_share,
-             Clock::time_point at) {
+void AddRequests(RetryAllowance& allowance, int requests, double slack_share,
+                 Clock::time_point at) {
   for (int i = 0; i < requests; ++i) {
     allowance.OnRequest(kLimits, slack_share, 1, at);
   }
@@ -29,8 +29,8 @@
 
 }  // namespace
 
-// Guards against instances that together send a service that fails more than
-// the fleet may.
+// Guards against instances that together send a failing service more retries
+// than the fleet's bound allows.
 TEST_CASE("the shares of all instances stay within the fleet's slack") {
   constexpr int kInstances = 7;
   constexpr double kShare = kLimits.slack / kInstances;
@@ -43,58 +43,60 @@
   REQUIRE(total > 0);
 }
 
-TEST_CASE("requests earn repeats, at the ratio") {
+TEST_CASE("requests add retry credit at the ratio") {
   RetryAllowance allowance;
-  Request(allowance, 100, kLimits.slack / 5, kNow);
+  AddRequests(allowance, 100, kLimits.slack / 5, kNow);
   const int spent = SpendAll(allowance, kLimits.slack / 5, kNow);
   REQUIRE(spent <= 100 * kLimits.ratio + 1);
   REQUIRE(spent >= 10);
 }
 
-TEST_CASE("repeats are bounded in every window, and earned again behind it") {
+TEST_CASE("retries are bounded per window, and later requests add new credit") {
   constexpr double kShare = kLimits.slack / 7;
   RetryAllowance allowance;
-  Request(allowance, 100, kShare, kNow);
+  AddRequests(allowance, 100, kShare, kNow);
   const int first = SpendAll(allowance, kShare, kNow);
   REQUIRE(first > 0);
   REQUIRE(SpendAll(allowance, kShare, kNow + 9s) == 0);
   REQUIRE(SpendAll(allowance, kShare, kNow + 11s) == 0);
-  Request(allowance, 100, kShare, kNow + 11s);
+  AddRequests(allowance, 100, kShare, kNow + 11s);
   REQUIRE(SpendAll(allowance, kShare, kNow + 11s) == first);
 }
 
-// Guards against a process that starts with its share of the budget, which the
-// one before it may have spent a moment ago.
-TEST_CASE("a process that starts has no credit until its requests earn some") {
+// Guards against a process that starts with its share of the budget, which its
+// previous process may have spent just before.
+TEST_CASE("a process that starts has no credit until its requests add some") {
   RetryAllowance allowance;
   REQUIRE(SpendAll(allowance, kLimits.slack, kNow) == 0);
-  Request(allowance, 1, kLimits.slack, kNow);
+  AddRequests(allowance, 1, kLimits.slack, kNow);
   REQUIRE(SpendAll(allowance, kLimits.slack, kNow) == 0);
-  Request(allowance, 20, kLimits.slack, kNow);
+  AddRequests(allowance, 20, kLimits.slack, kNow);
   REQUIRE(SpendAll(allowance, kLimits.slack, kNow) > 0);
 }
 
-// Guards against credit that a busy hour has saved up, spent at once in a quiet
-// one.
-TEST_CASE("credit of requests of before the window is lost") {
+// Guards against credit that accumulates under high load and is spent at once
+// under low load.
+TEST_CASE("credit of requests from before the window is dropped") {
   RetryAllowance allowance;
-  Request(allowance, 1000, kNoSlack, kNow);
+  AddRequests(allowance, 1000, kNoSlack, kNow);
   REQUIRE(SpendAll(allowance, kNoSlack, kNow + 11s) == 0);
 }
 
-TEST_CASE("a smaller share of the slack holds less credit at once") {
+TEST_CASE("a smaller share of the slack lowers the bucket's capacity") {
   RetryAllowance allowance;
-  Request(allowance, 200, 20, kNow);
-  // Beyond the slack a bucket holds a part of the ratio of its requests.
+  AddRequests(allowance, 200, 20, kNow);
+  // In addition to the slack, a bucket holds a part of the ratio of its
+  // requests.
   REQUIRE(SpendAll(allowance, 2, kNow) <= 2 + 200 * kLimits.ratio / 2);
 }
 
-// Guards against a service that runs for days without a repeat, and for which
-// the process remembers every request until it is over its memory limit.
-TEST_CASE("requests are forgotten once they no longer count") {
+// Guards against unbounded memory use: a process that drops old requests only
+// when it spends credit keeps every request to a service that needs no retries
+// for days.
+TEST_CASE("requests from before the window are dropped") {
   RetryAllowance allowance;
   for (int i = 0; i < 10000; ++i) {
-    Request(allowance, 1, kNoSlack, kNow + i * 100ms);
+    AddRequests(allowance, 1, kNoSlack, kNow + i * 100ms);
   }
-  REQUIRE(allowance.remembered() <= 102);
+  REQUIRE(allowance.requests_in_window() <= 102);
 }
--- a/libs/routing/test/upstream_table_test.cc
+++ b/libs/routing/test/upstream_table_test.cc
@@ -27,7 +27,7 @@
 
 }  // namespace
 
-TEST_CASE("a draining entry gets no new work at once") {
+TEST_CASE("an upstream gets no new work as soon as its entry drains") {
   UpstreamTable table;
   table.Put(Entry("a"));
   REQUIRE(IsListed(*table.Find("a"), kNow));
@@ -35,7 +35,7 @@
   REQUIRE_FALSE(IsListed(*table.Find("a"), kNow));
 }
 
-TEST_CASE("a removed entry is dropped, its holders see it") {
+TEST_CASE("a removed upstream is dropped, and its holders find it unlisted") {
   UpstreamTable table;
   table.Put(Entry("a"));
   const UpstreamPtr held = table.Find("a");
@@ -46,11 +46,13 @@
   REQUIRE_FALSE(IsListed(*held, kNow));
 }
 
-// Story: the store is away for some seconds, and entries lapse though their
-// processes live. When it returns, the list lacks them for a second or two.
-// Dropped at once, callers would get 503 with every upstream healthy; kept
-// for ever, a process that is gone would get work.
-TEST_CASE("entries missing after an outage are kept for the grace only") {
+// Guards against two faults after the store was unreachable for some seconds:
+// entries lapse though their processes run, and are missing from the list for a
+// second or two after the store is reachable again. If they are dropped at
+// once, callers get 503 while every upstream is healthy; if they are kept for
+// ever, processes that have ended get work.
+TEST_CASE(
+    "entries missing after an outage are kept for the grace period only") {
   UpstreamTable table;
   table.Put(Entry("back"));
   table.Put(Entry("gone"));
@@ -63,7 +65,7 @@
   REQUIRE(table.Find("gone") == nullptr);
 }
 
-TEST_CASE("an entry that has left is told of once it drains and once gone") {
+TEST_CASE("the leave callback runs once for draining and once for the drop") {
   UpstreamTable table;
   std::vector<bool> listed;
   table.set_on_leave(
@@ -87,16 +89,17 @@
 
 }  // namespace
 
-// Story: an upstream crashes after a series of failures and starts again under
-// its id. It is healthy, yet callers' requests avoid it for seconds, and its
-// memory counts as full of results that went with its earlier start.
+// Guards against keeping the history of an upstream that crashes after a series
+// of failures and restarts under its id: though healthy, it would be avoided
+// for seconds, and its memory would count as full of results that were lost
+// with the crash.
 TEST_CASE("a later start under a known id is an upstream without history") {
   UpstreamTable table;
   std::vector<bool> left;
   table.set_on_leave([&](const UpstreamPtr& u) { left.push_back(u->listed); });
   table.Put(EntryOfStart("a", 1000));
   const UpstreamPtr before = table.Find("a");
-  before->ejected_till = kNow + 4s;
+  before->ejected_until = kNow + 4s;
   before->latency_ms = 900;
   UpstreamEntry again = EntryOfStart("a", 2000);
   again.address = "10.0.0.2:80";
@@ -112,23 +115,23 @@
   REQUIRE(table.ForService("s").size() == 1);
 }
 
-// Story: the last words of a start (draining) are read after the entry of the
-// next one, from a list that is seconds old. Taken as news, the process that
-// runs now would get no work until its next heartbeat.
-TEST_CASE("an earlier start is never taken for a later one") {
+// Guards against applying an entry of an earlier start: a list that is seconds
+// old can hold its last entry (draining) after the entry of the next start was
+// read. The running process would then get no work until its next heartbeat.
+TEST_CASE("an entry of an earlier start is ignored") {
   UpstreamTable table;
   table.Put(EntryOfStart("a", 2000));
   table.Put(EntryOfStart("a", 1000, true));
   table.Put(EntryOfStart("a", 0, true));
   REQUIRE(IsListed(*table.Find("a"), kNow));
   REQUIRE(table.Find("a")->entry.started_unix_ms == 2000);
-  // Also when a list brings both up to date.
+  // The same applies to a full list.
   table.ReplaceAll(std::vector<UpstreamEntry>{EntryOfStart("a", 1000)}, kNow);
   table.Expire(kNow);
   REQUIRE(table.Find("a")->entry.started_unix_ms == 2000);
 }
 
-TEST_CASE("a start that follows a drained one takes work again") {
+TEST_CASE("an upstream that restarts after draining gets work again") {
   UpstreamTable table;
   table.Put(EntryOfStart("a", 1000, true));
   REQUIRE_FALSE(IsListed(*table.Find("a"), kNow));
@@ -136,18 +139,18 @@
   REQUIRE(IsListed(*table.Find("a"), kNow));
 }
 
-// Guards against work for an upstream that a store from an older copy lists as
-// if it had not begun to leave.
-TEST_CASE("an upstream that leaves goes on leaving") {
+// Guards against work for a draining upstream that a store restored from an
+// older copy lists as not yet draining.
+TEST_CASE("a draining upstream stays draining") {
   UpstreamTable table;
   table.Put(Entry("i-1", true));
   table.Put(Entry("i-1", false));
   REQUIRE(table.Find("i-1")->entry.draining);
 }
 
-// Guards against work for an upstream that has left and that an older copy
-// lists.
-TEST_CASE("an entry of a copy does not bring back an upstream that has left") {
+// Guards against work for an upstream that has left but is listed by a store
+// restored from an older copy.
+TEST_CASE("an entry of an older copy does not add an upstream that has left") {
   UpstreamTable table;
   const auto now = Clock::time_point(100s);
   table.Put(Entry("i-1"));
@@ -157,21 +160,21 @@
   table.ReplaceAll(copy, now, now + 5s);
   REQUIRE_FALSE(table.Find("i-1"));
   REQUIRE(table.Find("i-2"));
-  SECTION("another list says nothing new") {
+  SECTION("a further list with the entry does not add it") {
     table.ReplaceAll(copy, now);
     table.Expire(now + 4s);
     REQUIRE_FALSE(table.Find("i-1"));
   }
-  SECTION("its removal does") {
+  SECTION("its removal discards the entry") {
     table.Remove("i-1", now + 1s);
     table.Expire(now + 6s);
     REQUIRE_FALSE(table.Find("i-1"));
   }
-  SECTION("what was written again brings it back at once") {
+  SECTION("an entry that is written again adds it at once") {
     table.Put(Entry("i-1"));
     REQUIRE(table.Find("i-1"));
   }
-  SECTION("it is alive if its entry does not lapse") {
+  SECTION("an entry that has not lapsed in time adds it") {
     table.Expire(now + 5s);
     REQUIRE(table.Find("i-1"));
   }
--- a/libs/stages/include/turmeric/stages/piece_queue.h
+++ b/libs/stages/include/turmeric/stages/piece_queue.h
@@ -62,8 +62,8 @@
 
 /** What an upstream that is free can take in its next call. */
 struct CallSpace {
-  int pieces = 1;          ///< Most pieces in the call.
-  int64_t room_bytes = 0;  ///< Memory left for results.
+  int pieces = 1;                   ///< Most pieces in the call.
+  int64_t result_memory_bytes = 0;  ///< Memory left for results.
   /** Zones in which other upstreams could take a piece. */
   std::span<const std::string> other_zones;
   /** Services with work enough: pieces that lead to them are not started. */
--- a/libs/stages/src/call_plan.cc
+++ b/libs/stages/src/call_plan.cc
@@ -34,7 +34,8 @@
 }
 
 int64_t RoomLeft(const StageCallLimits& limits, int64_t used) {
-  const double room = kRoomShare * static_cast<double>(limits.room_bytes);
+  const double room =
+      kRoomShare * static_cast<double>(limits.result_memory_bytes);
   return static_cast<int64_t>(room) - used;
 }
 
--- a/libs/stages/src/piece_queue.cc
+++ b/libs/stages/src/piece_queue.cc
@@ -124,7 +124,7 @@
   }
   std::ranges::stable_sort(order, {}, &std::pair<Urgency, Iterator>::first);
   std::vector<QueuedPiece> call;
-  int64_t room = space.room_bytes;
+  int64_t room = space.result_memory_bytes;
   size_t late = 0;
   CallMix mix;
   for (const auto& [urgency, it] : order) {
--- a/libs/stages/test/call_plan_test.cc
+++ b/libs/stages/test/call_plan_test.cc
@@ -20,7 +20,7 @@
   limits.batch = 8;
   limits.call_ms = 200;
   limits.piece_ms = 21;
-  limits.room_bytes = 18'000'000;
+  limits.result_memory_bytes = 18'000'000;
   return limits;
 }
 
--- a/libs/stages/test/piece_queue_test.cc
+++ b/libs/stages/test/piece_queue_test.cc
@@ -29,7 +29,7 @@
 
 CallSpace Space(int pieces, int64_t room = 1000000) {
   return {.pieces = pieces,
-          .room_bytes = room,
+          .result_memory_bytes = room,
           .zone = "zone-a",
           .call_time = 300ms};
 }
--- a/libs/stages/test/stage_times_test.cc
+++ b/libs/stages/test/stage_times_test.cc
@@ -101,7 +101,7 @@
     while (busy_[stage] < service.upstreams) {
       auto pieces = queues_[stage].TakeCall(
           {.pieces = service.batch,
-           .room_bytes = 1 << 20,
+           .result_memory_bytes = 1 << 20,
            .other_zones = {},
            .backed_up = {},
            .zone = "",
