--- a/libs/entry/include/turmeric/entry/cold_limiter.h
+++ b/libs/entry/include/turmeric/entry/cold_limiter.h
@@ -78,8 +78,9 @@
    * @param now current time.
    * @return filter of the upstreams that may receive one more request.
    */
-  routing::Admits AdmitsAsOwner(const routing::ServiceSpec* spec,
-                                const std::string& part, Clock::time_point now);
+  routing::UpstreamFilter AdmitsAsOwner(const routing::ServiceSpec* spec,
+                                        const std::string& part,
+                                        Clock::time_point now);
   /**
    * Same for a choice that this instance makes without the owner, for example
    * because the owner did not respond in time.
@@ -87,16 +88,16 @@
    * @param now current time.
    * @return filter of the upstreams that may receive one more request.
    */
-  routing::Admits AdmitsAsNonOwner(const routing::ServiceSpec* spec,
-                                   Clock::time_point now) const;
+  routing::UpstreamFilter AdmitsAsNonOwner(const routing::ServiceSpec* spec,
+                                           Clock::time_point now) const;
   /**
    * Same for a service whose upstreams each instance chooses for itself.
    * @param spec the service, or nullptr.
    * @param now current time.
    * @return filter of the upstreams that may receive one more request.
    */
-  routing::Admits AdmitsForUnowned(const routing::ServiceSpec* spec,
-                                   Clock::time_point now) const;
+  routing::UpstreamFilter AdmitsForUnowned(const routing::ServiceSpec* spec,
+                                           Clock::time_point now) const;
   /**
    * Records that a request is sent to an upstream.
    * @param spec the service of the upstream, or nullptr.
--- a/libs/entry/include/turmeric/entry/placement_coordinator.h
+++ b/libs/entry/include/turmeric/entry/placement_coordinator.h
@@ -5,7 +5,7 @@
 #include <string>
 
 #include "turmeric/peer/frame.h"
-#include "turmeric/routing/placement_book.h"
+#include "turmeric/routing/placement_tracker.h"
 
 namespace turmeric::entry {
 
@@ -68,7 +68,7 @@
 
   EntryContext& context_;
   /** By identity, see Place. */
-  std::map<std::string, routing::PlacementBook> books_;
+  std::map<std::string, routing::PlacementTracker> books_;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/stage_router.h
+++ b/libs/entry/include/turmeric/entry/stage_router.h
@@ -60,7 +60,7 @@
   struct Pending;
 
   std::string ShardFor(const std::string& service,
-                       const stages::ShardWish& wish) const;
+                       const stages::ShardPreference& wish) const;
   bool MoveToOtherShard(uint64_t ticket);
   void Dispatch(uint64_t ticket);
   void OnInputsTaken(uint64_t ticket);
--- a/libs/entry/src/cold_limiter.cc
+++ b/libs/entry/src/cold_limiter.cc
@@ -4,15 +4,15 @@
 
 namespace turmeric::entry {
 
-using routing::Admits;
 using routing::RecentSends;
-using routing::SendGround;
+using routing::SenderRole;
 using routing::ServiceSpec;
 using routing::Upstream;
+using routing::UpstreamFilter;
 
 namespace {
 
-Admits AdmitNone() {
+UpstreamFilter AdmitNone() {
   return [](const Upstream&) { return false; };
 }
 
@@ -33,9 +33,9 @@
   return routing::ArrivalBound(spec->cold_per_s, tolerance_);
 }
 
-Admits ColdLimiter::AdmitsAsOwner(const ServiceSpec* spec,
-                                  const std::string& part,
-                                  Clock::time_point now) {
+UpstreamFilter ColdLimiter::AdmitsAsOwner(const ServiceSpec* spec,
+                                          const std::string& part,
+                                          Clock::time_point now) {
   const auto bound = ArrivalBoundOf(spec);
   if (!bound) return {};
   if (!other_instances_) return AdmitNone();
@@ -48,33 +48,33 @@
     return AdmitsAsNonOwner(spec, now);
   }
   const auto limit = static_cast<size_t>(routing::ShareOfBound(
-      *bound, is_new_owner ? SendGround::kNewOwner : SendGround::kOwner));
+      *bound, is_new_owner ? SenderRole::kNewOwner : SenderRole::kOwner));
   return [limit, now](const Upstream& u) { return u.sends.Count(now) < limit; };
 }
 
-Admits ColdLimiter::AdmitsAsNonOwner(const ServiceSpec* spec,
-                                     Clock::time_point now) const {
+UpstreamFilter ColdLimiter::AdmitsAsNonOwner(const ServiceSpec* spec,
+                                             Clock::time_point now) const {
   const auto bound = ArrivalBoundOf(spec);
   if (!bound) return {};
   if (!other_instances_) return AdmitNone();
-  const int share = routing::ShareOfBound(*bound, SendGround::kAlone);
+  const int share = routing::ShareOfBound(*bound, SenderRole::kUncoordinated);
   return [this, share, now](const Upstream& u) {
     const int own =
-        routing::DealtShare(share, u.entry.id, self_, *other_instances_);
+        routing::InstanceShare(share, u.entry.id, self_, *other_instances_);
     return u.sends.Count(now) < static_cast<size_t>(own);
   };
 }
 
-Admits ColdLimiter::AdmitsForUnowned(const ServiceSpec* spec,
-                                     Clock::time_point now) const {
+UpstreamFilter ColdLimiter::AdmitsForUnowned(const ServiceSpec* spec,
+                                             Clock::time_point now) const {
   const auto bound = ArrivalBoundOf(spec);
   if (!bound) return {};
-  const int share = routing::ShareOfBound(*bound, SendGround::kNoOwner);
+  const int share = routing::ShareOfBound(*bound, SenderRole::kNoOwner);
   return [this, share, now](const Upstream& u) {
-    if (now >= u.cold_till) return true;
+    if (now >= u.cold_until) return true;
     if (!other_instances_) return false;
     const int own =
-        routing::DealtShare(share, u.entry.id, self_, *other_instances_);
+        routing::InstanceShare(share, u.entry.id, self_, *other_instances_);
     return u.sends.Count(now) < static_cast<size_t>(own);
   };
 }
--- a/libs/entry/src/stage_dispatcher.cc
+++ b/libs/entry/src/stage_dispatcher.cc
@@ -8,7 +8,7 @@
 #include "turmeric/entry/repeat_credit.h"
 #include "turmeric/entry/work_quarantine.h"
 #include "turmeric/stages/call_plan.h"
-#include "turmeric/stages/result_room.h"
+#include "turmeric/stages/result_memory.h"
 #include "turmeric/stages/shard.h"
 #include "turmeric/utils/decision_log.h"
 
@@ -47,7 +47,7 @@
 /** Calls in progress and results held of one upstream. */
 struct StageDispatcher::Worker {
   int calls = 0;
-  stages::ResultRoom room;
+  stages::ResultMemory room;
 };
 
 struct StageDispatcher::Queue {
@@ -157,7 +157,8 @@
   const auto full = CallTime(limits, static_cast<size_t>(limits.batch));
   const size_t before =
       queue.pieces.CountBefore(UrgencyOf(piece, full, now), now, full);
-  return now + stages::LeastTime(limits, before, usable) > piece.deadline;
+  return now + stages::MinCompletionTime(limits, before, usable) >
+         piece.deadline;
 }
 
 std::optional<PieceFailure> StageDispatcher::RefusalReason(
@@ -213,11 +214,11 @@
                                      const StageCallLimits& limits) {
   const Clock::time_point now = Clock::now();
   const auto shortest = CallTime(limits, 1);
-  FailAll(queue.pieces.TakeHopeless(shortest, now), PieceFailure::kLate);
+  FailAll(queue.pieces.TakeInfeasible(shortest, now), PieceFailure::kLate);
   if (!context_.Uses(Mechanism::kRefuseUnreached)) return;
   if (now < queue.late_checked_at + kLateCheckInterval) return;
   queue.late_checked_at = now;
-  FailAll(queue.pieces.TakeUnreached(NextCallDuration(queue, limits), now),
+  FailAll(queue.pieces.TakeStarved(NextCallDuration(queue, limits), now),
           PieceFailure::kLate);
 }
 
@@ -243,7 +244,7 @@
   std::vector<std::string> zones;
   bool any_listed = false;
   const routing::ServiceSpec* spec = context_.FindService(queue.shard.service);
-  const routing::Admits admits =
+  const routing::UpstreamFilter admits =
       context_.cold.AdmitsAsOwner(spec, queue.name, now);
   for (const UpstreamPtr& u : UpstreamsOf(queue)) {
     if (!IsListed(*u, now)) continue;
@@ -262,14 +263,15 @@
   for (const UpstreamPtr& u : free) {
     if (queue.pieces.size() == 0) return;
     Worker& worker = WorkerOf(queue, u);
-    std::vector<QueuedPiece> call = queue.pieces.TakeCall(
-        {.pieces = limits.batch,
-         .room_bytes = stages::RoomLeft(limits, worker.room.Used(now)),
-         .other_zones = zones,
-         .backed_up = backed_up,
-         .zone = u->entry.zone,
-         .call_time = NextCallDuration(queue, limits)},
-        now);
+    std::vector<QueuedPiece> call =
+        queue.pieces.TakeCall({.pieces = limits.batch,
+                               .result_memory_bytes = stages::ResultMemoryLeft(
+                                   limits, worker.room.Used(now)),
+                               .other_zones = zones,
+                               .backed_up = backed_up,
+                               .zone = u->entry.zone,
+                               .call_time = NextCallDuration(queue, limits)},
+                              now);
     if (!call.empty()) {
       SendCall(queue, u, std::move(call), limits);
     }
@@ -340,7 +342,8 @@
   worker.room.Unreserve(call.bytes());
   const routing::ServiceSpec* spec =
       context_.table->FindService(call.service());
-  const double keep_s = spec && spec->stage ? spec->stage->keep_s : 0;
+  const double keep_s =
+      spec && spec->stage ? spec->stage->result_retention_s : 0;
   const auto expires_at =
       Clock::now() +
       std::chrono::milliseconds(static_cast<int64_t>(keep_s * 1000));
@@ -351,22 +354,22 @@
     if (result.failure == PieceFailure::kNone) {
       worker.room.Hold(result.handle, piece.piece.result_bytes, expires_at);
     }
-    const bool retryable = result.failure == PieceFailure::kNoRoom ||
+    const bool retryable = result.failure == PieceFailure::kNoMemory ||
                            result.failure == PieceFailure::kFailed;
     if (retryable && piece.sends < kMaxSends &&
         TakeRepeats(context_, call.service(), piece.piece.request_id)) {
-      queue.pieces.PushBack(std::move(piece));
+      queue.pieces.Requeue(std::move(piece));
       continue;
     }
     piece.events.on_done(result);
   }
   const bool no_room = std::ranges::any_of(results, [](const PieceResult& r) {
-    return r.failure == PieceFailure::kNoRoom;
+    return r.failure == PieceFailure::kNoMemory;
   });
   if (!no_room || spec == nullptr || !spec->stage) return;
   const auto now = Clock::now();
-  worker.room.NoteFull(stages::RoomLeft(*spec->stage, worker.room.Used(now)),
-                       now);
+  worker.room.NoteFull(
+      stages::ResultMemoryLeft(*spec->stage, worker.room.Used(now)), now);
 }
 
 void StageDispatcher::OnCallFailed(PieceCall& call, Outcome outcome) {
@@ -416,7 +419,7 @@
         (piece.sends < kMaxSends &&
          TakeRepeats(context_, service, piece.piece.request_id));
     if (may_retry) {
-      queue.pieces.PushBack(std::move(piece));
+      queue.pieces.Requeue(std::move(piece));
     } else {
       piece.events.on_done(
           {.failure = PieceFailure::kFailed, .handle = {}, .zone = {}});
@@ -428,7 +431,7 @@
                                  const std::vector<std::string>& handles) {
   Queue& queue = QueueOf(shard);
   for (auto& [upstream, worker] : queue.workers) {
-    for (const std::string& handle : handles) worker.room.Forget(handle);
+    for (const std::string& handle : handles) worker.room.Release(handle);
   }
   ScheduleDispatch();
 }
--- a/libs/entry/src/stage_run.cc
+++ b/libs/entry/src/stage_run.cc
@@ -127,7 +127,7 @@
 
 void StageRun::RecordStageTime(int stage) {
   const auto it = submissions_.find(stage);
-  if (it == submissions_.end() || !progress_.Complete(stage)) return;
+  if (it == submissions_.end() || !progress_.IsComplete(stage)) return;
   const std::string& service =
       plan_.route.stages[static_cast<size_t>(stage)].service;
   const Submission& submission = it->second;
@@ -146,7 +146,7 @@
         .Add("stage", stage)
         .Add("piece", index)
         .Add("failure", static_cast<int>(result.failure));
-    if (result.failure == PieceFailure::kInputGone && Restart("gone")) return;
+    if (result.failure == PieceFailure::kInputLost && Restart("gone")) return;
     return events_.on_failed(result.failure);
   }
   progress_.Complete(stage, index, result);
@@ -162,7 +162,7 @@
 }
 
 void StageRun::OnProducerRestarted() {
-  if (!Restart("maker_restarted")) events_.on_failed(PieceFailure::kInputGone);
+  if (!Restart("maker_restarted")) events_.on_failed(PieceFailure::kInputLost);
 }
 
 bool StageRun::Restart(std::string_view why) {
--- a/libs/entry/src/topology_feed.cc
+++ b/libs/entry/src/topology_feed.cc
@@ -80,7 +80,7 @@
       });
   context_.upstreams.set_on_leave([this](const routing::UpstreamPtr& u) {
     context_.client.CloseIdle(u->entry.id);
-    context_.prompt_memory.Forget(u->entry.id);
+    context_.prompt_memory.RemoveEngine(u->entry.id);
     utils::DecisionLog("upstream_leaves")
         .Add("upstream", u->entry.id)
         .Add("service", u->entry.service)
@@ -353,10 +353,10 @@
     // No prompts were sent to these upstreams during the evacuation, and their
     // processes may have restarted.
     for (const auto& u : context_.upstreams.InZone(zone)) {
-      context_.prompt_memory.Forget(u->entry.id);
+      context_.prompt_memory.RemoveEngine(u->entry.id);
       u->latency_ms = routing::Upstream().latency_ms;
       const auto* spec = context_.FindService(u->entry.service);
-      if (spec != nullptr) u->cold_till = Clock::now() + spec->cold_start;
+      if (spec != nullptr) u->cold_until = Clock::now() + spec->cold_start;
     }
   }
   utils::DecisionLog("evacuations_in_force")
@@ -414,8 +414,8 @@
 void TopologyFeed::NoteCold(std::string_view upstream) {
   const routing::UpstreamPtr found = context_.upstreams.Find(upstream);
   if (!found || found->entry.cold_left <= milliseconds(0)) return;
-  found->cold_till =
-      std::max(found->cold_till, Clock::now() + found->entry.cold_left);
+  found->cold_until =
+      std::max(found->cold_until, Clock::now() + found->entry.cold_left);
 }
 
 // An entry may come from another writer. If it cannot be decoded, it defines no
--- a/libs/entry/src/upstream_choice.cc
+++ b/libs/entry/src/upstream_choice.cc
@@ -41,12 +41,13 @@
   const auto now = Clock::now();
   const auto upstreams = context.upstreams.ForService(choice.service);
   const routing::ServiceSpec* spec = context.FindService(choice.service);
-  const routing::Admits admits = choice.has_owner
-                                     ? context.cold.AdmitsAsNonOwner(spec, now)
-                                     : context.cold.AdmitsForUnowned(spec, now);
+  const routing::UpstreamFilter admits =
+      choice.has_owner ? context.cold.AdmitsAsNonOwner(spec, now)
+                       : context.cold.AdmitsForUnowned(spec, now);
   UpstreamPtr chosen;
   if (choice.suspect) {
-    chosen = ChooseApart(upstreams, choice.work, criteria.tried, now, admits);
+    chosen = ChooseByFingerprint(upstreams, choice.work, criteria.tried, now,
+                                 admits);
   } else {
     routing::ChoiceRequest request = ToChoiceRequest(criteria);
     request.admits = admits;
--- a/libs/entry/test/cold_fleet_test.cc
+++ b/libs/entry/test/cold_fleet_test.cc
@@ -13,13 +13,13 @@
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using turmeric::entry::ColdLimiter;
-using turmeric::routing::Admits;
 using turmeric::routing::ChoiceRequest;
 using turmeric::routing::ChooseUpstream;
 using turmeric::routing::Clock;
 using turmeric::routing::RendezvousWeight;
 using turmeric::routing::ServiceSpec;
 using turmeric::routing::Upstream;
+using turmeric::routing::UpstreamFilter;
 using turmeric::routing::UpstreamPtr;
 
 namespace {
@@ -175,7 +175,7 @@
     const bool owner_answers = Draw(40) != 0;
     Node* owner = owner_answers ? OwnerFor(node) : nullptr;
     Node& chooser = owner != nullptr ? *owner : node;
-    const Admits admits =
+    const UpstreamFilter admits =
         owner != nullptr ? chooser.limiter->AdmitsAsOwner(&spec_, "cell", now_)
                          : chooser.limiter->AdmitsAsNonOwner(&spec_, now_);
     ChoiceRequest choice;
