--- a/libs/entry/include/turmeric/entry/request_admission.h
+++ b/libs/entry/include/turmeric/entry/request_admission.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-#include "turmeric/entry/come_back.h"
+#include "turmeric/entry/retry_after.h"
 #include "turmeric/routing/route_table.h"
 #include "turmeric/routing/upstream.h"
 
--- a/libs/entry/include/turmeric/entry/request_run.h
+++ b/libs/entry/include/turmeric/entry/request_run.h
@@ -10,8 +10,8 @@
 #include <vector>
 
 #include "turmeric/entry/caller_answer.h"
-#include "turmeric/entry/repeat_policy.h"
 #include "turmeric/entry/request_admission.h"
+#include "turmeric/entry/retry_policy.h"
 #include "turmeric/entry/stream_relay.h"
 #include "turmeric/entry/wire_format.h"
 #include "turmeric/http/client_connection.h"
--- a/libs/entry/src/entry_service.cc
+++ b/libs/entry/src/entry_service.cc
@@ -10,12 +10,12 @@
 #include "turmeric/entry/instance_links.h"
 #include "turmeric/entry/piece_host.h"
 #include "turmeric/entry/placement_desk.h"
+#include "turmeric/entry/request_quarantine.h"
 #include "turmeric/entry/request_run.h"
 #include "turmeric/entry/stage_dispatcher.h"
 #include "turmeric/entry/stage_router.h"
 #include "turmeric/entry/store_sharing.h"
 #include "turmeric/entry/topology_feed.h"
-#include "turmeric/entry/work_quarantine.h"
 #include "turmeric/utils/decision_log.h"
 
 namespace turmeric::entry {
--- a/libs/entry/src/work_quarantine.cc
+++ b/libs/entry/src/request_quarantine.cc
@@ -1,4 +1,4 @@
-#include "turmeric/entry/work_quarantine.h"
+#include "turmeric/entry/request_quarantine.h"
 
 #include <algorithm>
 #include <iterator>
--- a/libs/entry/src/request_run.cc
+++ b/libs/entry/src/request_run.cc
@@ -6,18 +6,18 @@
 #include <utility>
 
 #include "turmeric/entry/answer_check.h"
-#include "turmeric/entry/come_back.h"
 #include "turmeric/entry/config_check.h"
 #include "turmeric/entry/engine_placement.h"
 #include "turmeric/entry/entry_context.h"
 #include "turmeric/entry/entry_metrics.h"
-#include "turmeric/entry/repeat_credit.h"
-#include "turmeric/entry/repeat_policy.h"
+#include "turmeric/entry/request_quarantine.h"
+#include "turmeric/entry/retry_after.h"
+#include "turmeric/entry/retry_credit.h"
+#include "turmeric/entry/retry_policy.h"
 #include "turmeric/entry/stage_run.h"
 #include "turmeric/entry/upstream_choice.h"
 #include "turmeric/entry/upstream_send.h"
 #include "turmeric/entry/wanted_upstream.h"
-#include "turmeric/entry/work_quarantine.h"
 #include "turmeric/quarantine/fingerprint.h"
 #include "turmeric/utils/decision_log.h"
 
--- a/libs/entry/src/come_back.cc
+++ b/libs/entry/src/retry_after.cc
@@ -1,4 +1,4 @@
-#include "turmeric/entry/come_back.h"
+#include "turmeric/entry/retry_after.h"
 
 #include <cstdint>
 
--- a/libs/entry/src/repeat_credit.cc
+++ b/libs/entry/src/retry_credit.cc
@@ -1,4 +1,4 @@
-#include "turmeric/entry/repeat_credit.h"
+#include "turmeric/entry/retry_credit.h"
 
 #include "turmeric/entry/entry_context.h"
 #include "turmeric/entry/entry_metrics.h"
--- a/libs/entry/src/repeat_policy.cc
+++ b/libs/entry/src/retry_policy.cc
@@ -1,4 +1,4 @@
-#include "turmeric/entry/repeat_policy.h"
+#include "turmeric/entry/retry_policy.h"
 
 namespace turmeric::entry {
 
--- a/libs/entry/src/stage_dispatcher.cc
+++ b/libs/entry/src/stage_dispatcher.cc
@@ -5,8 +5,8 @@
 
 #include "turmeric/entry/entry_context.h"
 #include "turmeric/entry/piece_call.h"
-#include "turmeric/entry/repeat_credit.h"
-#include "turmeric/entry/work_quarantine.h"
+#include "turmeric/entry/request_quarantine.h"
+#include "turmeric/entry/retry_credit.h"
 #include "turmeric/stages/call_plan.h"
 #include "turmeric/stages/result_room.h"
 #include "turmeric/stages/shard.h"
--- a/libs/entry/src/stage_router.cc
+++ b/libs/entry/src/stage_router.cc
@@ -6,7 +6,7 @@
 
 #include "turmeric/entry/entry_context.h"
 #include "turmeric/entry/instance_links.h"
-#include "turmeric/entry/repeat_credit.h"
+#include "turmeric/entry/retry_credit.h"
 #include "turmeric/entry/stage_dispatcher.h"
 #include "turmeric/stages/shard.h"
 
--- a/libs/entry/test/retry_fleet_test.cc
+++ b/libs/entry/test/retry_fleet_test.cc
@@ -9,8 +9,8 @@
 #include <span>
 #include <vector>
 
-#include "turmeric/entry/repeat_credit.h"
 #include "turmeric/entry/retry_budgets.h"
+#include "turmeric/entry/retry_credit.h"
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using std::chrono::milliseconds;
