--- a/libs/entry/include/turmeric/entry/answer_check.h
+++ b/libs/entry/include/turmeric/entry/answer_check.h
@@ -6,18 +6,20 @@
 
 namespace turmeric::entry {
 
-/** What is known of an answer once its connection says that it is whole. */
-struct EndedAnswer {
+/** An answer whose end has been received on its connection. */
+struct CompletedAnswer {
   int status = 0;
   const AnswerInfo& info;
   bool is_event_stream = false;
-  bool inside_event = false;  ///< A stream's bytes end inside an event.
+  bool inside_event = false;  ///< The stream's body ends inside an event.
 };
 
 /**
- * Decides whether an answer may be passed on as the upstream's own.
- * @param answer what was received. @return why not; empty if it may.
+ * Decides whether an answer may be forwarded to the caller as the answer of the
+ * upstream that the request was sent to.
+ * @param answer the answer received. @return the reason against it; empty if it
+ *     may be forwarded.
  */
-std::string_view AnswerFault(const EndedAnswer& answer);
+std::string_view AnswerFault(const CompletedAnswer& answer);
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/caller_answer.h
+++ b/libs/entry/include/turmeric/entry/caller_answer.h
@@ -9,37 +9,40 @@
 namespace turmeric::entry {
 
 /**
- * The answer to one caller: a whole message, or a stream that is begun once
- * and then ended or broken off. Does nothing once the caller has gone.
+ * Writes the answer to one caller: a whole message, or a stream that is begun
+ * once and then ended or aborted. Does nothing after the caller has
+ * disconnected.
  */
 class CallerAnswer {
  public:
-  /** Holds an upstream back, or lets it go on. */
-  using PauseUpstream = std::function<void(bool paused)>;
+  /** Pauses (true) or resumes (false) reading from the upstream. */
+  using PauseReading = std::function<void(bool paused)>;
 
-  /** @param connection the caller's. @param on_gone called once if the caller
-   * goes before its answer has ended. */
+  /** @param connection the caller's connection. @param on_gone called once if
+   * the caller disconnects before its answer has ended. */
   CallerAnswer(http::ServerConnection& connection,
                std::function<void()> on_gone);
 
-  /** @return true until the caller has gone. */
-  bool caller_waits() const { return !connection_.isNull(); }
+  /** @return true until the caller disconnects. */
+  bool caller_connected() const { return !connection_.isNull(); }
   /** @return true once a stream has begun. */
   bool streaming() const { return streaming_; }
-  /** @param message the whole answer. */
+  /** Sends a whole answer. @param message the answer. */
   void Respond(const http::ResponseMessage& message);
-  /** @param head the stream's. */
+  /** Begins a stream. @param head its status and header fields. */
   void BeginStream(const http::ResponseHead& head);
   /**
-   * Passes part of a stream that has begun on.
-   * @param events whole events. @param pause called while the caller reads
-   *     more slowly than its upstream writes.
+   * Forwards part of a stream that has begun.
+   * @param events whole events. @param pause called with true when the caller
+   *     reads more slowly than its upstream writes, and with false once all
+   *     buffered bytes have been sent.
    */
-  void PassEvents(std::string_view events, const PauseUpstream& pause);
+  void WriteEvents(std::string_view events, const PauseReading& pause);
   /** Ends a stream as complete. */
   void EndStream();
-  /** Closes so that a stream that has begun cannot look complete. */
-  void BreakOff();
+  /** Closes the connection without the end mark of the stream, so that the
+   * caller sees that the stream is incomplete. */
+  void Abort();
 
  private:
   QPointer<http::ServerConnection> connection_;
--- a/libs/entry/include/turmeric/entry/entry_context.h
+++ b/libs/entry/include/turmeric/entry/entry_context.h
@@ -23,7 +23,7 @@
 class ConfigCheck;
 class EnginePlacer;
 class EntryMetrics;
-class WorkQuarantine;
+class RequestQuarantine;
 
 /** What one instance knows and shares among its requests. */
 struct EntryContext {
@@ -85,7 +85,7 @@
   ConfigCheck* config_check = nullptr;
   StageClient* stages = nullptr;
   EnginePlacer* placer = nullptr;
-  WorkQuarantine* quarantine = nullptr;
+  RequestQuarantine* quarantine = nullptr;
   EntryMetrics* metrics = nullptr;
 };
 
--- a/libs/entry/include/turmeric/entry/entry_service.h
+++ b/libs/entry/include/turmeric/entry/entry_service.h
@@ -25,7 +25,7 @@
 class StageRouter;
 class StoreSharing;
 class TopologyFeed;
-class WorkQuarantine;
+class RequestQuarantine;
 
 /**
  * Service "entry": an instance on the platform, between callers and
@@ -74,7 +74,7 @@
   PlatformLink link_;
   EntryContext context_;
   std::unique_ptr<InstanceLinks> links_;
-  std::unique_ptr<WorkQuarantine> quarantine_;
+  std::unique_ptr<RequestQuarantine> quarantine_;
   std::unique_ptr<StageDispatcher> dispatcher_;
   std::unique_ptr<StageRouter> router_;
   std::unique_ptr<PlacementDesk> desk_;
--- a/libs/entry/include/turmeric/entry/event_splitter.h
+++ b/libs/entry/include/turmeric/entry/event_splitter.h
@@ -8,24 +8,26 @@
 
 namespace turmeric::entry {
 
-/** One whole event of a stream, its blank line included. */
+/** One whole event of a stream, including its terminating blank line. */
 struct StreamEvent {
   std::string bytes;
   std::optional<int64_t> id;
 };
 
 /**
- * Splits a text/event-stream body into whole events, keeping the tail: an
- * upstream may stop in the middle of one, and half an event must not reach
- * the caller before what follows it is known.
+ * Splits a text/event-stream body into whole events and buffers an incomplete
+ * event at the end. An upstream may break off inside an event; the buffered
+ * part must not reach the caller, as the stream may be resumed at another
+ * upstream.
  */
 class EventSplitter {
  public:
-  /** @param bytes newly arrived. @return the events they complete. */
+  /** @param bytes next bytes of the body. @return the events completed by
+   * them. */
   std::vector<StreamEvent> Feed(std::string_view bytes);
-  /** @return true if part of an event is held. */
+  /** @return true if part of an event is buffered. */
   bool has_tail() const { return !tail_.empty(); }
-  /** Forgets the tail: another run goes on. */
+  /** Discards the buffered part, before the body of another run begins. */
   void Reset() { tail_.clear(); }
 
  private:
--- a/libs/entry/include/turmeric/entry/quarantine_archive.h
+++ b/libs/entry/include/turmeric/entry/quarantine_archive.h
@@ -15,54 +15,57 @@
 namespace turmeric::entry {
 
 /**
- * Keeps quarantined work in the platform's store, for instances that cannot
- * hear of it from others: all of a fleet that starts again, and one that is cut
- * off. The store is read at the start and after each crash that is seen here,
- * not followed: a fleet that sees no crash makes no calls.
+ * Keeps the crashes of quarantined requests in the platform's store, for
+ * instances that cannot receive them from others: after a restart of the whole
+ * fleet, or without a link to the others. The store is read at the start and
+ * after a crash that this instance has seen. It is not watched, so that a fleet
+ * without crashes makes no calls.
  */
 class QuarantineArchive : public QObject {
  public:
   using Clock = quarantine::Clock;
-  /** Gets the crashes under each work that the store holds. */
+  /** Receives the crashes of all requests that the store holds. */
   using ReadCallback = std::function<void(std::span<const quarantine::Crash>)>;
 
-  /** @param source the platform's store; must outlive this. @param kind of the
-   * objects. @param on_read see ReadCallback. */
+  /** @param source the platform's store; must outlive this. @param kind kind of
+   * the objects. @param on_read see ReadCallback. */
   QuarantineArchive(store::ObjectSource& source, std::string kind,
                     ReadCallback on_read);
 
   /** Reads the store. */
   void Read();
-  /** Reads the store soon: at once, unless that was asked for just before. */
-  void ReadSoon();
+  /** Reads the store: at once, or a second after the previous read if that was
+   * less than a second ago. */
+  void ReadRateLimited();
   /**
-   * Writes work until the store has taken it.
-   * @param work its fingerprint. @param crashes that it is quarantined by; none
-   *     if it no longer is.
+   * Writes the crashes of a request, with retries until the store accepts them.
+   * @param fingerprint of the request. @param crashes that it is quarantined
+   *     for; empty if it no longer is quarantined.
    */
-  void Write(const std::string& work, std::vector<quarantine::Crash> crashes);
-  /** The store has lost what was written to it lately: writes it again. */
-  void WriteAgain();
+  void Write(const std::string& fingerprint,
+             std::vector<quarantine::Crash> crashes);
+  /** Rewrites recent objects, after the store has lost recent writes. */
+  void RewriteRecent();
 
  private:
   void OnRead(std::span<const store::SourceObject> objects);
-  void Send(const std::string& work);
-  void NoteWritten(const std::string& work);
+  void Send(const std::string& fingerprint);
+  void MarkWritten(const std::string& fingerprint);
 
   store::ObjectSource& source_;
   std::string kind_;
   ReadCallback on_read_;
-  Clock::time_point asked_at_;
-  QTimer read_later_;
-  /** By work; not yet taken by the store. */
+  Clock::time_point last_read_at_;
+  QTimer read_timer_;
+  /** By fingerprint; not yet accepted by the store. */
   std::map<std::string, std::vector<quarantine::Crash>> unwritten_;
-  std::chrono::milliseconds pause_;
-  /** Taken by the store, lately. */
+  std::chrono::milliseconds backoff_;
+  /** A recent write that the store has accepted. */
   struct Written {
     std::vector<quarantine::Crash> crashes;
     Clock::time_point at;
   };
-  std::map<std::string, Written> written_;  ///< By work.
+  std::map<std::string, Written> written_;  ///< By fingerprint.
   QTimer retry_;
 };
 
--- a/libs/entry/include/turmeric/entry/request_admission.h
+++ b/libs/entry/include/turmeric/entry/request_admission.h
@@ -13,25 +13,26 @@
 
 struct CallerRequest;
 
-/** Why a request is answered without being sent anywhere. */
+/** Why a request is refused before anything is sent for it. */
 enum class AdmissionRefusal {
   kNone,
-  kNotReady,    ///< No configuration or list of upstreams was read yet.
-  kStoreAway,   ///< The same, and the store does not answer.
-  kNoRoute,     ///< No route of the host matches the path.
-  kStopping,    ///< It would outlast this process.
-  kUnknownKey,  ///< The route needs a key, and no organisation holds this one.
-  /** No route or key, by a configuration that may be out of date. */
-  kConfigUnsure,
+  kNotReady,  ///< The configuration or the list of upstreams has not been read.
+  kStoreUnreachable,  ///< As kNotReady, and the store does not answer.
+  kNoRoute,           ///< No route of the host matches the path.
+  kStopping,          ///< The request would outlast this process.
+  kUnknownKey,  ///< The route needs a key, and no organisation has this one.
+  /** No matching route or key in a configuration that may be stale. */
+  kConfigUnconfirmed,
 };
 
-/** What this instance knows when a request arrives. */
+/** State of this instance when a request arrives. */
 struct AdmissionState {
   const routing::RouteTable* table = nullptr;
-  bool upstreams_known = false;
-  bool store_away = false;  ///< Calls to the store fail.
-  /** Time since a planned stop began; none: it has not. */
+  bool upstreams_known = false;    ///< Their list was read at least once.
+  bool store_unreachable = false;  ///< Calls to the store fail.
+  /** Time since a planned stop began; none: no stop has begun. */
   std::optional<std::chrono::milliseconds> since_stop;
+  /** Time from the start of a planned stop to the end of the process. */
   std::chrono::milliseconds stop_grace{0};
 };
 
@@ -39,34 +40,34 @@
 struct Admission {
   AdmissionRefusal refusal = AdmissionRefusal::kNone;
   const routing::Route* route = nullptr;  ///< Lives as long as the table.
-  std::string organisation;               ///< Who calls; may be empty.
-  int rank = 0;                           ///< Urgency class, 0 first.
-  routing::Clock::time_point limit;       ///< Final answer due.
-  /** A stream that has begun is broken off then; not before `limit`. */
+  std::string organisation;               ///< Of the caller; empty: none.
+  int rank = 0;                      ///< Priority class; 0 is served first.
+  routing::Clock::time_point limit;  ///< When the final answer is due.
+  /** When a stream that has begun is aborted; not before `limit`. */
   routing::Clock::time_point stream_limit;
-  /** By then the answer must have begun, or the caller or this process has
-   * gone. */
+  /** When the answer must have begun; later the caller has disconnected or
+   * this process has ended. */
   routing::Clock::time_point first_byte_limit;
 };
 
 /**
  * Decides on a request before anything is sent for it.
- * @param request what arrived. @param state what is known.
- * @param arrived when. @return the decision.
+ * @param request the request. @param state state of this instance.
+ * @param arrived time of arrival. @return the decision.
  */
 Admission Admit(const CallerRequest& request, const AdmissionState& state,
                 routing::Clock::time_point arrived);
 
-/** @param refusal a refusal. @return true if its answer tells the caller not to
- * come back, by the configuration. */
+/** @param refusal a refusal. @return true if, by the configuration, a retry
+ * would be refused too; its answer has no Retry-After delay. */
 bool IsFinal(AdmissionRefusal refusal);
 
-/** How a request is answered that is not admitted. */
+/** The answer to a request that is not admitted. */
 struct RefusalAnswer {
-  int status = 0;  ///< HTTP status.
-  std::string_view why;
-  /** When the caller should return; none: the request will never be taken. */
-  std::optional<ComeBack> come_back;
+  int status = 0;        ///< HTTP status.
+  std::string_view why;  ///< Outcome, for log and metrics.
+  /** When the caller may retry; none: a retry would be refused too. */
+  std::optional<RetryAfter> retry_after;
 };
 
 /** @param refusal a refusal, not kNone. @return its answer. */
--- a/libs/entry/include/turmeric/entry/request_quarantine.h
+++ b/libs/entry/include/turmeric/entry/request_quarantine.h
@@ -29,75 +29,81 @@
 class InstanceLinks;
 class QuarantineArchive;
 
-/** A request whose exchange with an upstream broke off. */
-struct BrokenRequest {
-  std::string work;         ///< Its fingerprint.
-  bool progressed = false;  ///< Part of its answer had come.
+/** A request whose exchange with an upstream ended without a whole answer. */
+struct InterruptedRequest {
+  std::string fingerprint;  ///< Of the request.
+  bool progressed = false;  ///< Part of its answer had been received.
 };
 
 /**
- * Keeps requests that end the upstreams which run them away from these: notes
- * what ran on an upstream that ended, tells all other instances, and keeps in
- * the platform's store what is quarantined. Joins CrashLedger, which decides,
- * with the connections.
+ * Quarantines requests that crash the upstreams which run them: records the
+ * requests in flight on an upstream that has ended, sends the crashes to all
+ * other instances, and keeps the quarantined requests in the platform's store.
+ * CrashLedger makes the decisions; this class connects it to the probe of
+ * upstreams, the other instances and the store.
  */
-class WorkQuarantine : public QObject {
+class RequestQuarantine : public QObject {
  public:
   /** @param context the instance's state. @param links to the other
    * instances. Both must outlive this. */
-  WorkQuarantine(EntryContext& context, InstanceLinks& links);
-  ~WorkQuarantine() override;
+  RequestQuarantine(EntryContext& context, InstanceLinks& links);
+  ~RequestQuarantine() override;
 
   /** Begins to use the store. @param source the store; must outlive this.
-   * @param kind of the objects that hold quarantined work. */
+   * @param kind kind of the objects that hold quarantined requests. */
   void Start(store::ObjectSource& source, std::string kind);
 
   /**
-   * Exchanges with one upstream broke off together.
-   * @param upstream where. @param requests what it had.
-   * @param done called once it is known whether the upstream has ended, and
-   *     QuarantinedFor says what follows; never from inside this call.
+   * Probes an upstream whose exchanges were interrupted together, and records a
+   * crash of each request if the upstream has ended.
+   * @param upstream the upstream. @param requests the interrupted requests.
+   * @param done called after the crashes have been recorded or the upstream was
+   *     found to run; never from inside this call.
    */
-  void OnBrokenOff(const routing::UpstreamPtr& upstream,
-                   std::vector<BrokenRequest> requests,
-                   std::function<void()> done);
-  /** An upstream has run a request to its end.
-   * @param work its fingerprint. @param service the upstream's. */
-  void OnGoodRun(const std::string& work, const std::string& service);
-  /** @param work a fingerprint. @return how long its copies are to be refused;
-   * nullopt: they are not. */
-  std::optional<std::chrono::milliseconds> QuarantinedFor(
-      std::string_view work) const;
-  /** @param work a fingerprint. @return true if it is to be kept apart from
-   * other work under the same suspicion. */
-  bool IsSuspect(std::string_view work) const;
-  /** @param work a fingerprint. @return upstreams that have ended under it. */
-  int crashes(std::string_view work) const;
+  void OnExchangesBroken(const routing::UpstreamPtr& upstream,
+                         std::vector<InterruptedRequest> requests,
+                         std::function<void()> done);
+  /** Records the complete run of a request.
+   * @param fingerprint of the request. @param service the upstream's service.
+   */
+  void OnGoodRun(const std::string& fingerprint, const std::string& service);
+  /** @param fingerprint of a request. @return time for which its copies are
+   * still refused; nullopt if it is not quarantined. */
+  std::optional<std::chrono::milliseconds> RemainingQuarantine(
+      std::string_view fingerprint) const;
+  /** @param fingerprint of a request. @return true if it must run on another
+   * upstream than other suspect requests. */
+  bool IsSuspect(std::string_view fingerprint) const;
+  /** @param fingerprint of a request. @return number of upstreams that have
+   * crashed under it. */
+  int crash_count(std::string_view fingerprint) const;
 
-  /** The store has lost what was written to it lately. */
+  /** Rewrites recent objects, when the store begins a new era: it has then lost
+   * recent writes. */
   void OnNewEra();
-  /** @param source who sent it. @param frame another instance's news. */
+  /** Merges the crashes and good runs of another instance. @param source name
+   * of the sender. @param frame the frame received. */
   void OnFrame(const std::string& source, const peer::Frame& frame);
-  /** @param frame the first to an instance that may have just started: gets
-   * all that it should know. */
-  void Introduce(peer::Frame& frame) const;
+  /** Adds the relevant crashes to the first frame for an instance that may have
+   * just started. @param frame the frame to extend. */
+  void AddKnownCrashes(peer::Frame& frame) const;
 
  private:
   using Clock = quarantine::Clock;
 
-  void NoteCrashes(const routing::UpstreamEntry& upstream,
-                   std::span<const BrokenRequest> requests,
-                   Clock::time_point at);
-  bool Note(const quarantine::Crash& crash, std::string_view source);
-  void TellOthers(const std::vector<quarantine::Crash>& crashes);
-  void SetMetric() const;
+  void RecordCrashes(const routing::UpstreamEntry& upstream,
+                     std::span<const InterruptedRequest> requests,
+                     Clock::time_point at);
+  bool Record(const quarantine::Crash& crash, std::string_view source);
+  void SendToPeers(const std::vector<quarantine::Crash>& crashes);
+  void UpdateMetric() const;
 
   EntryContext& context_;
   InstanceLinks& links_;
   quarantine::CrashLedger ledger_;
   UpstreamProbe probe_;
   std::unique_ptr<QuarantineArchive> archive_;
-  QTimer expire_;
+  QTimer expire_timer_;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/request_run.h
+++ b/libs/entry/include/turmeric/entry/request_run.h
@@ -29,9 +29,10 @@
 class UpstreamSend;
 
 /**
- * One request from its arrival to its final answer: route and key, stages,
- * the send to an upstream, repeats where the route allows them, and the
- * answer. Deletes itself when the answer is out or the caller has gone.
+ * Handles one request from its arrival to its final answer: admission by route
+ * and key, stages, the send to an upstream, retries where the route allows
+ * them, and the answer. Deletes itself after the final answer or when the
+ * caller has disconnected.
  */
 class RequestRun : public QObject {
  public:
@@ -39,34 +40,38 @@
 
   /**
    * @param context the instance's state; must outlive this.
-   * @param connection the caller's. @param request what it sent.
+   * @param connection the caller's connection. @param request the decoded
+   * request.
    * @param parent Qt owner.
    */
   RequestRun(EntryContext& context, http::ServerConnection& connection,
              CallerRequest request, QObject* parent);
   ~RequestRun() override;
 
-  /** Decides what to do with the request, and begins. */
+  /** Admits or refuses the request and starts its stages. */
   void Start();
-  /** A planned stop begins: stages that cannot be done by then are refused
-   * early. @param last_answers when EndBeforeExit follows. */
-  void OnStopBegins(Clock::time_point last_answers);
-  /** Gives the final answer, unless a stream has begun: the process ends. */
-  void EndBeforeExit();
+  /** Limits the stages at the start of a planned stop: pieces that cannot be
+   * done in time are refused early. @param last_answers when AnswerBeforeExit
+   * will be called. */
+  void OnPlannedStop(Clock::time_point last_answers);
+  /** Sends the final answer before the process ends, unless a stream has
+   * begun. */
+  void AnswerBeforeExit();
 
  private:
   bool Admitted();
-  /** Finds out whether a refusal that is final by the configuration in force is
-   * so by the store's latest, and decides anew. */
-  void CheckConfig();
+  /** Checks whether the configuration in force is the latest of the store, then
+   * runs the admission a second time. Called before a refusal that is final. */
+  void CheckConfigIsLatest();
   void StartStages();
   void OnStageFailed(stages::PieceFailure failure);
-  // One send.
+  // Sending to an upstream.
   void SendToUpstream();
-  WantedUpstream Wanted(std::string_view results_zone) const;
-  /** @return true if all that are left have as much as they would bear if they
-   * were cold, and one is looked for again soon. */
-  bool WaitsForRoom();
+  WantedUpstream MakeWantedUpstream(std::string_view results_zone) const;
+  /** Schedules another choice of an upstream if all untried ones have received
+   * as many requests as they could serve when cold (shortly after a start).
+   * @return false if there is no such upstream or no wait is left. */
+  bool WaitForCapacity();
   void SendTo(const routing::UpstreamPtr& upstream);
   int ConnectionLimit() const;
   UpstreamCall CallTo(const routing::Upstream& upstream) const;
@@ -74,31 +79,38 @@
   UpstreamSendEvents SendEvents();
   void OnEnd();
   void OnFailure(http::ExchangeFailure failure);
-  void OnNotRun(SendEnd end);
-  void OnBroken(std::string_view why);
-  /** It is known whether the upstream that broke off has ended. */
-  void AfterBroken(std::string_view why);
-  /** Answers a request that ends upstreams. @return true if it is one. */
-  bool RefusedAsHarmful();
-  bool MaySendAgain(SendEnd end);
-  void SendAgain();
+  void OnNotRun(SendOutcome outcome);
+  void OnExchangeBroken(std::string_view why);
+  /** Retries or fails after the probe has shown whether the upstream has
+   * ended. */
+  void AfterCrashProbe(std::string_view why);
+  /** Answers the request if it is quarantined, as upstreams crashed under it.
+   * @return true if it is quarantined. */
+  bool AnswerIfQuarantined();
+  /** Decides on a retry and spends its credit.
+   * @return true if the request may be retried. */
+  bool MayRetry(SendOutcome outcome);
+  void Retry();
   void OnStreamBytes(std::string_view bytes);
-  void PassHead();
+  void ForwardHead();
   // The final answer.
-  void PassAnswer();
-  void Refuse(std::string_view why, ComeBack when);
-  void Refuse(std::string_view why, std::chrono::milliseconds come_back);
+  void ForwardAnswer();
+  /** Answers a request that has not run, with a Retry-After delay. */
+  void Refuse(std::string_view why, RetryAfter when);
+  void Refuse(std::string_view why, std::chrono::milliseconds retry_after);
+  /** Answers without a Retry-After delay, or aborts a stream. */
   void Fail(int status, std::string_view why);
   void OnTimeLimit();
-  /** @return true if its caller can't be told that it has not run. */
-  bool SentOrRun() const;
-  void OnCallerGone();
+  /** @return true if the request may have run, so that the answer must not say
+   * "not run". */
+  bool MayHaveRun() const;
+  void OnCallerDisconnected();
   void Finish(int status, std::string_view outcome);
-  /** @return how far the request has come, for the log. */
+  /** @return the phase that the request has reached, for the log. */
   std::string_view Phase() const;
   void LogEnd(int status, std::string_view outcome, double ms) const;
   std::chrono::milliseconds TimeLeft() const;
-  std::chrono::milliseconds PromptTime() const;
+  std::chrono::milliseconds PromptReadTime() const;
   double MsSinceArrival() const;
 
   EntryContext& context_;
@@ -107,30 +119,33 @@
   routing::RouteTablePtr table_;  ///< Keeps `route_` alive.
   const routing::Route* route_ = nullptr;
   Admission admission_;
-  /** Whether the configuration decided by is the store's latest; none: not
-   * asked, as nothing depended on it. */
-  std::optional<bool> by_latest_config_;
-  std::string work_;  ///< What all copies of the request have in common.
+  /** Whether the configuration in force is the latest of the store; none: not
+   * checked, as no final refusal depended on it. */
+  std::optional<bool> config_is_latest_;
+  std::string fingerprint_;  ///< Equal for all copies of the request.
   std::string service_;
   Clock::time_point arrived_;
-  /** What the caller used of its time in earlier attempts. */
+  /** Time that the caller spent on earlier attempts. */
   std::chrono::milliseconds time_used_{0};
   QTimer limit_timer_;
 
   std::unique_ptr<StageRun> stages_;
 
-  /** While an engine is looked for; the send holds it then. */
+  /** Set while an engine is being chosen; then moved to the send. */
   std::unique_ptr<EnginePlacement> placement_;
-  std::unique_ptr<UpstreamSend> send_;  ///< The last; null before the first.
-  std::vector<std::string> tried_;
-  int64_t events_before_send_ = 0;  ///< Of its stream, from earlier sends.
+  /** The last send; null before the first. */
+  std::unique_ptr<UpstreamSend> send_;
+  std::vector<std::string> tried_upstreams_;
+  /** Stream events forwarded by earlier sends. */
+  int64_t events_before_send_ = 0;
   int sends_ = 0;
   int cold_waits_ = 0;
-  int unreached_ = 0;  ///< Of these, sends that no upstream received.
+  int unreached_sends_ = 0;  ///< Those of `sends_` that no upstream received.
   bool may_have_run_ = false;
-  std::optional<http::ResponseMessage> last_error_;  ///< An upstream's own.
+  /** Error answer of an upstream after which the request was retried. */
+  std::optional<http::ResponseMessage> last_error_;
 
-  // For the log; -1: not reached.
+  // Times since arrival for the log; -1: not reached.
   int64_t stages_done_ms_ = -1;
   int64_t first_byte_ms_ = -1;
 
--- a/libs/entry/include/turmeric/entry/retry_after.h
+++ b/libs/entry/include/turmeric/entry/retry_after.h
@@ -4,21 +4,25 @@
 
 namespace turmeric::entry {
 
-/** Why a request was refused, as far as it matters for its return. */
-enum class ComeBack {
-  kAtOnce,  ///< Another instance can take it.
-  kSoon,    ///< A queue or connection is full and moves on within a call.
-  kAfterOverload,  ///< More is asked for than can be served now.
-  kLater,  ///< Nothing could serve it; upstreams or knowledge are missing.
-  kAfterOutage,  ///< The store does not answer, and nothing is known yet.
+/** When a refused request may be retried, by the cause of the refusal. */
+enum class RetryAfter {
+  kImmediately,    ///< Another instance can serve it now.
+  kSoon,           ///< A queue or the connections are full; capacity is freed
+                   ///< within the duration of one call.
+  kAfterOverload,  ///< Demand exceeds the capacity that is available now.
+  /** No upstream is usable, or the configuration has not been read or
+   * confirmed, or the time limit passed before a send. */
+  kLater,
+  kAfterStoreOutage,  ///< The store does not answer, and this instance has
+                      ///< not read the configuration since it started.
 };
 
 /**
- * When the caller of a refused request should return.
- * @param when see ComeBack. @param draw uniform in [0, 1): spreads the
- * refused, so that they do not all return in the same instant.
- * @return the pause to tell the caller.
+ * Computes the Retry-After delay of a refused request.
+ * @param when see RetryAfter. @param draw uniform random number in [0, 1);
+ * spreads the retries of callers that are refused at the same time.
+ * @return the delay to send to the caller.
  */
-std::chrono::milliseconds ComeBackAfter(ComeBack when, double draw);
+std::chrono::milliseconds RetryAfterDelay(RetryAfter when, double draw);
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/retry_budgets.h
+++ b/libs/entry/include/turmeric/entry/retry_budgets.h
@@ -8,55 +8,62 @@
 
 namespace turmeric::entry {
 
-/** This instance's share of every service's retry budget. */
+/** Retry budgets of all services: the share of this instance in each. */
 class RetryBudgets {
  public:
   /** @param limits the fleet-wide bound on one service. @param first_start
-   * the whole fleet starts for the first time, and this instance with it. */
+   * true if the whole fleet, this instance included, starts for the first
+   * time. */
   explicit RetryBudgets(routing::RetryBudgetLimits limits,
                         bool first_start = false)
       : limits_(limits), first_start_(first_start), fleet_(first_start) {}
   /** @param limits the fleet-wide bound on one service. */
   void set_limits(routing::RetryBudgetLimits limits) { limits_ = limits; }
-  /** The fleet's list was read. @param list what it says. @param now the
-   * time. */
-  void NoteList(routing::FleetList list, routing::Clock::time_point now) {
+  /** Updates the fleet size. @param list the fleet's list as read.
+   * @param now current time. */
+  void OnFleetList(routing::FleetList list, routing::Clock::time_point now) {
     fleet_.NoteList(list, now);
   }
-  /** This instance is the only one, by its settings. */
-  void SetAlone() { fleet_.SetAlone(); }
-  /** @return instances in the fleet's list, this one included; 0: not read. */
+  /** Sets that this instance is the only one, by its settings. */
+  void SetSingleInstance() { fleet_.SetAlone(); }
+  /** @return instances in the fleet's list, including this one; 0: the list
+   * has not been read. */
   int listed_instances() const { return fleet_.listed(); }
-  /** @param service a request for it arrived. @param now the time. @param
-   * weight less than 1 where several instances count the same one. */
+  /** Earns credit for a request. @param service the service requested.
+   * @param now current time. @param weight less than 1 if several instances
+   * count the same request. */
   void OnRequest(const std::string& service, routing::Clock::time_point now,
                  double weight = 1) {
     AllowanceOf(service, now).OnRequest(limits_, SlackShare(now), weight, now);
   }
-  /** @return true, and takes their credit, if repeats may be sent.
-   * @param service where to. @param now the time. @param repeats how many. */
+  /** Spends the credit of retries if enough is left.
+   * @param service the service called. @param now current time.
+   * @param retries number of retries. @return true if they may be sent. */
   bool TrySpend(const std::string& service, routing::Clock::time_point now,
-                int repeats = 1) {
+                int retries = 1) {
     return AllowanceOf(service, now)
-        .TrySpend(limits_, SlackShare(now), now, repeats);
+        .TrySpend(limits_, SlackShare(now), now, retries);
   }
-  /** @param service one of them. @return repeats that its credit pays for. */
+  /** @param service name of a service. @return its credit, in retries. */
   double credit(const std::string& service) const {
     const auto it = by_service_.find(service);
     return it == by_service_.end() ? 0 : it->second.credit();
   }
-  /** @param now the time. @return this instance's part of the slack. */
+  /** @param now current time. @return this instance's share of the slack, in
+   * retries. */
   double SlackShare(routing::Clock::time_point now) const {
     if (const auto parts = fleet_.Parts(now)) return limits_.slack / *parts;
-    // Enough for one repeat at a time, where twice the fleet could have it.
+    // The fleet size is not settled: a share for one retry at a time, provided
+    // that the slack suffices for twice the number of instances.
     const auto fleet = fleet_.Settled(now);
-    const bool is_ample = fleet && limits_.slack >= 2 * kLeastShare * *fleet;
-    return is_ample ? kLeastShare : 0;
+    const bool slack_suffices =
+        fleet && limits_.slack >= 2 * kMinShare * *fleet;
+    return slack_suffices ? kMinShare : 0;
   }
 
  private:
-  /** Part of the slack of an instance that does not know the fleet yet. */
-  static constexpr double kLeastShare = 1.2;
+  /** Share of the slack, in retries, before the fleet size is settled. */
+  static constexpr double kMinShare = 1.2;
 
   routing::RetryAllowance& AllowanceOf(const std::string& service,
                                        routing::Clock::time_point now) {
--- a/libs/entry/include/turmeric/entry/retry_credit.h
+++ b/libs/entry/include/turmeric/entry/retry_credit.h
@@ -7,17 +7,18 @@
 
 struct EntryContext;
 
-/** Weight of a piece where credit is earned for it: it counts at the instance
- * whose request it is and at the one that makes its calls. */
-constexpr double kPieceWeight = 0.5;
+/** Weight of a piece (one unit of stage work) when it earns retry credit: it is
+ * counted twice, at the instance that has the request and at the instance that
+ * makes the calls to the stage. */
+constexpr double kPieceCreditWeight = 0.5;
 
 /**
- * Takes the credit for repeats, and logs and counts what came of it.
- * @param context the instance's state. @param service where they go.
- * @param request that is repeated, for the log. @param repeats how many.
- * @return true if they may be sent.
+ * Spends retry credit if enough is left; logs the decision and counts refusals.
+ * @param context the instance's state. @param service the service called.
+ * @param request id of the retried request, for the log. @param retries number
+ * of retries. @return true if the retries may be sent.
  */
-bool TakeRepeats(EntryContext& context, const std::string& service,
-                 std::string_view request, int repeats = 1);
+bool SpendRetryCredit(EntryContext& context, const std::string& service,
+                      std::string_view request, int retries = 1);
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/retry_policy.h
+++ b/libs/entry/include/turmeric/entry/retry_policy.h
@@ -5,39 +5,39 @@
 
 namespace turmeric::entry {
 
-/** What became of a request's last send. */
-enum class SendEnd {
+/** Outcome of the last send of a request. */
+enum class SendOutcome {
   kUnreached,  ///< No upstream received it.
-  kNotRun,     ///< An upstream said that it has not run.
+  kNotRun,     ///< An upstream stated that it has not run the request.
   kMayHaveRun,
 };
 
-/** What a repeat is decided by. */
-struct RepeatState {
-  SendEnd end = SendEnd::kMayHaveRun;
-  bool caller_waits = true;
-  std::chrono::milliseconds left{0};  ///< Until the request's limit.
-  int reached = 0;                    ///< Sends that an upstream received.
-  int max_sends = 1;  ///< As the route allows for what may have run.
-  size_t tried = 0;   ///< Upstreams tried, reached or not.
+/** Input of the decision on a retry. */
+struct RetryState {
+  SendOutcome outcome = SendOutcome::kMayHaveRun;
+  bool connected = true;                   ///< The caller has not disconnected.
+  std::chrono::milliseconds time_left{0};  ///< Until the request's time limit.
+  int received_sends = 0;                  ///< Sends that an upstream received.
+  int max_sends = 1;  ///< Limit of the route if the request may have run.
+  size_t tried_upstreams = 0;  ///< Upstreams tried, reached or not.
 };
 
-/** Whether a request may be sent once more. */
-enum class Repeat {
+/** Whether a request may be retried. */
+enum class RetryDecision {
   kNo,
-  kFree,        ///< It is no repeat at any upstream.
-  kFromBudget,  ///< If the retry budget has one left.
+  kFree,        ///< No upstream received the request; costs no credit.
+  kFromBudget,  ///< Allowed if the retry budget has credit left.
 };
 
 /**
- * Answers a crash of many upstreams at once: what none of them has received
- * costs nothing of the budget, which a crash of a quarter of the engines used
- * up in a second, so that 377 callers of a day were refused while the other
- * engines had room.
- * @param state see RepeatState; whether the kind of request may run again is
- *     the caller's to know.
- * @return whether it may be sent once more.
+ * Decides whether a request may be retried. A send that no upstream received
+ * costs no retry credit: otherwise a crash of a quarter of the engines uses up
+ * the budget within a second, and requests are refused (377 in one day)
+ * although the other engines have capacity.
+ * @param state see RetryState. Whether a request of this kind may run twice is
+ *     not checked here; callers of this function check it.
+ * @return whether and at which cost the request may be retried.
  */
-Repeat MayRepeat(const RepeatState& state);
+RetryDecision DecideRetry(const RetryState& state);
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/wire_format.h
+++ b/libs/entry/include/turmeric/entry/wire_format.h
@@ -15,7 +15,7 @@
 
 namespace turmeric::entry {
 
-/** A part of a prompt that requests may share. */
+/** A part of a prompt; requests may have such parts in common. */
 struct PromptPart {
   std::string id;
   int tokens = 0;
@@ -23,20 +23,22 @@
 
 /** A caller's request, decoded. */
 struct CallerRequest {
-  std::string attempt_id;  ///< Names this attempt of the caller.
+  std::string attempt_id;  ///< Identifies this attempt of the caller.
   std::string method;
   std::string target;
   std::string host;
-  std::vector<http::HeaderField> headers;  ///< Those passed on unchanged.
+  std::vector<http::HeaderField> headers;  ///< Those forwarded unchanged.
   std::string body;
-  std::optional<std::chrono::milliseconds> deadline;  ///< Left on arrival.
-  std::string key;  ///< The organisation's secret, empty if none was sent.
-  std::optional<int64_t> last_event_id;  ///< The caller resumes after this.
+  std::optional<std::chrono::milliseconds> deadline;  ///< Time left on arrival.
+  std::string key;  ///< API key of the organisation; empty if none was sent.
+  /** The stream is to be resumed after this event. */
+  std::optional<int64_t> last_event_id;
   std::string model;
   int prompt_tokens = 0;
   int output_tokens = 0;
-  std::vector<PromptPart> prompt;  ///< The last part is the request's own.
-  std::vector<int> stage_pieces;   ///< By stage.
+  /** The parts in order; the last one belongs to this request alone. */
+  std::vector<PromptPart> prompt;
+  std::vector<int> stage_pieces;  ///< Number of pieces, by stage.
   std::string piece_key;
 };
 
@@ -44,20 +46,21 @@
 struct UpstreamCall {
   const CallerRequest& request;
   std::chrono::milliseconds time_left{0};
-  std::string_view upstream_id;   ///< Any other process must refuse it.
-  std::string_view organisation;  ///< Empty: none.
+  std::string_view upstream_id;  ///< Any other process must refuse the request.
+  std::string_view organisation;  ///< Empty: no organisation.
   std::optional<int64_t> last_event_id;
   std::span<const std::string> inputs;  ///< Results of the stages.
-  std::optional<int> engine_priority;   ///< 0 first; absent: the default.
+  /** 0 is served first; absent: default of the engine. */
+  std::optional<int> engine_priority;
 };
 
-/** What the head of an upstream's answer says besides status and fields. */
+/** The gateway-specific fields in the head of an upstream's answer. */
 struct AnswerInfo {
-  std::string attempt_id;   ///< The request it answers; empty: not said.
-  bool not_run = false;     ///< The upstream states that it did not run it.
-  bool sealed = false;      ///< Bears the upstream's receipt.
-  bool encoded = false;     ///< The body is not the upstream's own bytes.
-  std::optional<int> load;  ///< Requests running and waiting there.
+  std::string attempt_id;    ///< The request it answers; empty: not stated.
+  bool not_run = false;      ///< States that the request has not run.
+  bool has_receipt = false;  ///< Carries the upstream's receipt.
+  bool encoded = false;      ///< The body is not the upstream's own bytes.
+  std::optional<int> load;   ///< Requests in flight and queued there.
 };
 
 /** One call for stage work. */
@@ -68,17 +71,20 @@
   std::chrono::steady_clock::time_point now;
 };
 
-/** How callers and upstreams are spoken to; filled by the adapter. */
+/** Encoders and decoders of the messages exchanged with callers and upstreams;
+ * filled in by the adapter of a platform. */
 struct WireFormat {
   std::function<CallerRequest(http::RequestMessage&&)> decode_request;
   std::function<std::string(const UpstreamCall&)> encode_call;
   std::function<AnswerInfo(const http::ResponseHead&)> decode_answer;
-  /** An answer of our own; a pause > 0 tells when to come back. */
+  /** Encodes an answer made by this instance; a `retry_after` > 0 is sent as
+   * the Retry-After delay. */
   std::function<http::ResponseMessage(int status, std::string_view attempt_id,
-                                      std::chrono::milliseconds come_back)>
-      encode_own_answer;
+                                      std::chrono::milliseconds retry_after)>
+      encode_local_answer;
   std::function<std::string(const StageCall&)> encode_stage_call;
-  /** One result a piece, in order; empty if it is not such an answer. */
+  /** Returns one result per piece, in the order of the call; empty if the body
+   * is no valid stage answer. */
   std::function<std::vector<stages::PieceResult>(std::string_view body)>
       decode_stage_answer;
   std::function<std::string(std::string_view address,
@@ -86,7 +92,7 @@
       encode_release;
   /** @return the address of the upstream that holds a result. */
   std::function<std::string(std::string_view handle)> handle_address;
-  std::string readiness_path;  ///< What the balancer asks for.
+  std::string readiness_path;  ///< Target of the load balancer's probe.
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/answer_check.cc
+++ b/libs/entry/src/answer_check.cc
@@ -9,24 +9,25 @@
 
 constexpr int kFirstRedirect = 300;
 
-/** @return true for statuses that promise the request has not run. */
-bool SaysNotRun(int status) {
-  constexpr std::array<int, 4> kPromises = {408, 421, 429, 503};
-  return std::ranges::count(kPromises, status) > 0;
+/** @return true for statuses by which callers conclude "not run". */
+bool MeansNotRun(int status) {
+  constexpr std::array<int, 4> kNotRunStatuses = {408, 421, 429, 503};
+  return std::ranges::count(kNotRunStatuses, status) > 0;
 }
 
 }  // namespace
 
-std::string_view AnswerFault(const EndedAnswer& answer) {
+std::string_view AnswerFault(const CompletedAnswer& answer) {
   const AnswerInfo& info = answer.info;
-  const bool own = info.sealed && !info.attempt_id.empty() && !info.encoded;
-  // Guard: an answer that does not prove to be the upstream's own must not
-  // look like a success, nor like the promise that nothing ran.
+  const bool is_from_upstream =
+      info.has_receipt && !info.attempt_id.empty() && !info.encoded;
+  // Guard: an answer without the upstream's receipt may come from another
+  // process. It must not be forwarded as a success or as "not run".
   const bool needs_receipt =
-      answer.status < kFirstRedirect || SaysNotRun(answer.status);
-  if (needs_receipt && !own) return "answer_without_receipt";
-  // Guard: an upstream that dies may end its stream in order but inside an
-  // event; passed on as complete, the caller would miss the rest.
+      answer.status < kFirstRedirect || MeansNotRun(answer.status);
+  if (needs_receipt && !is_from_upstream) return "answer_without_receipt";
+  // Guard: an upstream that crashes may end its body correctly but inside an
+  // event. Forwarded as complete, the stream would lack its rest unnoticed.
   if (answer.is_event_stream && answer.inside_event) {
     return "stream_cut_in_event";
   }
--- a/libs/entry/src/caller_answer.cc
+++ b/libs/entry/src/caller_answer.cc
@@ -7,9 +7,9 @@
 
 namespace {
 
-/** Unsent bytes of a slow reader at which its upstream is held back; it goes
- * on when all have left. */
-constexpr size_t kPauseAt = 256 * 1024;
+/** Unsent bytes to a slow caller from which reading from its upstream pauses;
+ * it resumes once all of them have been sent. */
+constexpr size_t kPauseThresholdBytes = 256 * 1024;
 
 }  // namespace
 
@@ -28,11 +28,11 @@
   if (connection_) connection_->StartChunked(head.status, head.headers);
 }
 
-void CallerAnswer::PassEvents(std::string_view events,
-                              const PauseUpstream& pause) {
+void CallerAnswer::WriteEvents(std::string_view events,
+                               const PauseReading& pause) {
   if (!connection_) return;
   connection_->WriteChunk(events);
-  if (connection_->unsent() <= kPauseAt || paused_) return;
+  if (connection_->unsent() <= kPauseThresholdBytes || paused_) return;
   paused_ = true;
   pause(true);
   connection_->set_on_drained([this, pause] {
@@ -45,7 +45,7 @@
   if (connection_) connection_->EndChunked();
 }
 
-void CallerAnswer::BreakOff() {
+void CallerAnswer::Abort() {
   if (connection_) connection_->Abort();
 }
 
--- a/libs/entry/src/entry_service.cc
+++ b/libs/entry/src/entry_service.cc
@@ -50,7 +50,7 @@
     : link_(CountCalls(std::move(link), metrics_)),
       context_(std::move(settings), link_.wire),
       links_(std::make_unique<InstanceLinks>(context_)),
-      quarantine_(std::make_unique<WorkQuarantine>(context_, *links_)),
+      quarantine_(std::make_unique<RequestQuarantine>(context_, *links_)),
       dispatcher_(std::make_unique<StageDispatcher>(context_)),
       router_(std::make_unique<StageRouter>(context_, *links_, *dispatcher_)),
       desk_(std::make_unique<PlacementDesk>(context_)),
@@ -104,9 +104,11 @@
              sharing_->OnLost(name);
            },
        .on_connect =
-           [this](peer::Frame& frame) { quarantine_->Introduce(frame); }});
+           [this](peer::Frame& frame) {
+             quarantine_->AddKnownCrashes(frame);
+           }});
   host_->set_on_guest(
-      [this](peer::Frame& frame) { quarantine_->Introduce(frame); });
+      [this](peer::Frame& frame) { quarantine_->AddKnownCrashes(frame); });
   host_->set_on_frame(
       [this](const std::string& identity, const peer::Frame& frame) {
         quarantine_->OnFrame(identity, frame);
@@ -152,7 +154,7 @@
 utils::Result<void> EntryService::StartPeers() {
   const config::EntrySettings& s = context_.settings;
   if (s.peer_address.empty()) {
-    context_.retries.SetAlone();
+    context_.retries.SetSingleInstance();
     context_.cold.set_others({});
     return boost::outcome_v2::success();
   }
@@ -248,7 +250,7 @@
       .Add("open_requests", open_requests())
       .Add("connections", callers_.size());
   const auto last_answers = context_.stop()->last_answers;
-  ForEachRun([=](RequestRun& run) { run.OnStopBegins(last_answers); });
+  ForEachRun([=](RequestRun& run) { run.OnPlannedStop(last_answers); });
   drain_check_.start();
 }
 
@@ -264,7 +266,7 @@
   const auto since = now - drain_began_;
   const StopSchedule stop = *context_.stop();
   if (now >= stop.last_answers) {
-    ForEachRun([](RequestRun& run) { run.EndBeforeExit(); });
+    ForEachRun([](RequestRun& run) { run.AnswerBeforeExit(); });
   }
   if (since < kBalancerNotices && now < stop.last_answers) return;
   const auto open = callers_;
--- a/libs/entry/src/event_splitter.cc
+++ b/libs/entry/src/event_splitter.cc
@@ -27,8 +27,7 @@
   return std::nullopt;
 }
 
-/** @return the position behind the first blank line, npos if there is none.
- */
+/** @return the position after the first blank line, npos if there is none. */
 size_t EventEnd(std::string_view text) {
   const size_t lf = text.find("\n\n");
   const size_t crlf = text.find("\r\n\r\n");
--- a/libs/entry/src/instance_links.cc
+++ b/libs/entry/src/instance_links.cc
@@ -46,7 +46,7 @@
     // A first connection tells the other that we are here (again).
     if (is_new) Connect(name, instance).outgoing();
   }
-  context_.retries.NoteList(
+  context_.retries.OnFleetList(
       {.instances = static_cast<int>(instances_.size()) + 1,
        .lists_this_one = listed},
       Clock::now());
--- a/libs/entry/src/quarantine_archive.cc
+++ b/libs/entry/src/quarantine_archive.cc
@@ -16,13 +16,15 @@
 
 namespace {
 
-/** Least time between two reads: crashes come in groups. */
-constexpr milliseconds kReadAgain{1000};
-/** Pause after the store has not taken a write, doubled up to the longest. */
-constexpr milliseconds kFirstPause{500};
-constexpr milliseconds kLongestPause{30000};
-/** A copy from which the store comes back has all that was written before. */
-constexpr milliseconds kCopyIsYounger = std::chrono::minutes(2);
+/** Least time between two reads, as crashes occur in groups. */
+constexpr milliseconds kMinReadInterval{1000};
+/** Backoff after a failed write, doubled after each further one up to the
+ * largest. */
+constexpr milliseconds kFirstBackoff{500};
+constexpr milliseconds kMaxBackoff{30000};
+/** Age up to which writes are repeated after the store was restored from a
+ * copy; the copy contains all older writes. */
+constexpr milliseconds kRewriteWindow = std::chrono::minutes(2);
 
 }  // namespace
 
@@ -31,23 +33,23 @@
     : source_(source),
       kind_(std::move(kind)),
       on_read_(std::move(on_read)),
-      pause_(kFirstPause) {
-  read_later_.setSingleShot(true);
-  connect(&read_later_, &QTimer::timeout, this, [this] { ReadSoon(); });
+      backoff_(kFirstBackoff) {
+  read_timer_.setSingleShot(true);
+  connect(&read_timer_, &QTimer::timeout, this, [this] { ReadRateLimited(); });
   retry_.setSingleShot(true);
   connect(&retry_, &QTimer::timeout, this, [this] {
     if (!unwritten_.empty()) Send(unwritten_.begin()->first);
   });
 }
 
-void QuarantineArchive::ReadSoon() {
-  if (read_later_.isActive()) return;
-  const auto next = asked_at_ + kReadAgain;
+void QuarantineArchive::ReadRateLimited() {
+  if (read_timer_.isActive()) return;
+  const auto next = last_read_at_ + kMinReadInterval;
   const auto now = Clock::now();
-  if (asked_at_ != Clock::time_point() && now < next) {
-    return read_later_.start(std::chrono::ceil<milliseconds>(next - now));
+  if (last_read_at_ != Clock::time_point() && now < next) {
+    return read_timer_.start(std::chrono::ceil<milliseconds>(next - now));
   }
-  asked_at_ = now;
+  last_read_at_ = now;
   Read();
 }
 
@@ -61,7 +63,7 @@
 }
 
 void QuarantineArchive::OnRead(std::span<const SourceObject> objects) {
-  const auto now = quarantine::Moment::Now();
+  const auto now = quarantine::ClockReading::Now();
   std::vector<Crash> all;
   for (const SourceObject& object : objects) {
     auto crashes = quarantine::DecodeCrashes(object.name, object.spec, now);
@@ -76,44 +78,45 @@
   on_read_(all);
 }
 
-void QuarantineArchive::Write(const std::string& work,
+void QuarantineArchive::Write(const std::string& fingerprint,
                               std::vector<Crash> crashes) {
-  unwritten_[work] = std::move(crashes);
-  Send(work);
+  unwritten_[fingerprint] = std::move(crashes);
+  Send(fingerprint);
 }
 
-void QuarantineArchive::NoteWritten(const std::string& work) {
-  auto node = unwritten_.extract(work);
+void QuarantineArchive::MarkWritten(const std::string& fingerprint) {
+  auto node = unwritten_.extract(fingerprint);
   if (node.empty()) return;
   const auto now = Clock::now();
   std::erase_if(written_, [now](const auto& entry) {
-    return entry.second.at + kCopyIsYounger < now;
+    return entry.second.at + kRewriteWindow < now;
   });
-  written_.insert_or_assign(work, Written{std::move(node.mapped()), now});
+  written_.insert_or_assign(fingerprint,
+                            Written{std::move(node.mapped()), now});
 }
 
-void QuarantineArchive::WriteAgain() {
+void QuarantineArchive::RewriteRecent() {
   if (written_.empty()) return;
-  for (auto& [work, written] : std::exchange(written_, {})) {
-    unwritten_.emplace(work, std::move(written.crashes));
+  for (auto& [fingerprint, written] : std::exchange(written_, {})) {
+    unwritten_.emplace(fingerprint, std::move(written.crashes));
   }
-  if (!retry_.isActive()) retry_.start(kFirstPause);
+  if (!retry_.isActive()) retry_.start(kFirstBackoff);
 }
 
-void QuarantineArchive::Send(const std::string& work) {
-  const auto spec =
-      quarantine::EncodeCrashes(unwritten_.at(work), quarantine::Moment::Now());
-  source_.Put(kind_, work, spec, [this, work](const auto& written) {
-    if (written) {
-      pause_ = kFirstPause;
-      NoteWritten(work);
+void QuarantineArchive::Send(const std::string& fingerprint) {
+  const auto spec = quarantine::EncodeCrashes(unwritten_.at(fingerprint),
+                                              quarantine::ClockReading::Now());
+  source_.Put(kind_, fingerprint, spec, [this, fingerprint](const auto& batch) {
+    if (batch) {
+      backoff_ = kFirstBackoff;
+      MarkWritten(fingerprint);
     } else {
       utils::DecisionLog("quarantine_not_written")
-          .Add("work", work)
-          .Add("why", written.error().detail);
-      pause_ = std::min(2 * pause_, kLongestPause);
+          .Add("work", fingerprint)
+          .Add("why", batch.error().detail);
+      backoff_ = std::min(2 * backoff_, kMaxBackoff);
     }
-    if (!unwritten_.empty() && !retry_.isActive()) retry_.start(pause_);
+    if (!unwritten_.empty() && !retry_.isActive()) retry_.start(backoff_);
   });
 }
 
--- a/libs/entry/src/request_admission.cc
+++ b/libs/entry/src/request_admission.cc
@@ -16,19 +16,20 @@
 constexpr int kNotFound = 404;
 constexpr int kUnavailable = 503;
 
-/** An answer given so long before the caller's deadline still reaches it. */
-constexpr milliseconds kAnswerMargin{15};
-/** A caller that gets a stream leaves by itself at its deadline; one whose end
- * of the connection is lost is let go after this. Above two ways to it and a
- * lost packet, below half a second of work for nobody. */
-constexpr milliseconds kCallerLeaves{250};
-/** Rank of an organisation that states none; 0 is first. */
-constexpr int kUsualOrganisation = 1;
-/** Ranks of routes told apart within one rank of organisations. With three,
- * the usual organisations fill ranks 3 to 5 of an engine's 0 to 9. */
+/** Time for an answer to reach the caller before its deadline. */
+constexpr milliseconds kAnswerTransitTime{15};
+/** A caller that receives a stream disconnects by itself at its deadline. If
+ * the disconnect is lost, the stream is aborted so long after the deadline:
+ * more than a round trip with one lost packet, less than half a second of
+ * useless work. */
+constexpr milliseconds kDisconnectGrace{250};
+/** Rank of an organisation without a priority; 0 is served first. */
+constexpr int kDefaultOrganisationRank = 1;
+/** Number of route ranks within one rank of organisations. With three, the
+ * organisations of default rank use the engine priorities 3 to 5 of 0 to 9. */
 constexpr int kRouteRanks = 3;
 
-bool TakesNow(const routing::Route& route, const AdmissionState& state) {
+bool AcceptsNow(const routing::Route& route, const AdmissionState& state) {
   if (!state.since_stop) return true;
   const bool is_long =
       route.kind == RequestKind::kStream || !route.stages.empty();
@@ -41,8 +42,9 @@
                 routing::Clock::time_point arrived) {
   Admission admission;
   if (state.table == nullptr || !state.upstreams_known) {
-    admission.refusal = state.store_away ? AdmissionRefusal::kStoreAway
-                                         : AdmissionRefusal::kNotReady;
+    admission.refusal = state.store_unreachable
+                            ? AdmissionRefusal::kStoreUnreachable
+                            : AdmissionRefusal::kNotReady;
     return admission;
   }
   const routing::RouteTable& table = *state.table;
@@ -52,40 +54,41 @@
     return admission;
   }
   const routing::Route& route = *admission.route;
-  int organisation_rank = kUsualOrganisation;
+  int organisation_rank = kDefaultOrganisationRank;
   const auto holder = table.organisation_by_key.find(request.key);
   if (holder != table.organisation_by_key.end()) {
     admission.organisation = holder->second.name;
-    organisation_rank = holder->second.priority.value_or(kUsualOrganisation);
+    organisation_rank =
+        holder->second.priority.value_or(kDefaultOrganisationRank);
   } else if (table.has_organisations && !route.is_public) {
     admission.refusal = AdmissionRefusal::kUnknownKey;
     return admission;
   }
-  if (!TakesNow(route, state)) {
+  if (!AcceptsNow(route, state)) {
     admission.refusal = AdmissionRefusal::kStopping;
     return admission;
   }
-  // The organisation's rank goes first, the route's second.
+  // The organisation's rank takes precedence over the route's.
   admission.rank = organisation_rank * kRouteRanks +
                    std::clamp(route.priority, 0, kRouteRanks - 1);
   admission.limit = arrived + route.timeout;
   admission.stream_limit = admission.limit;
   if (request.deadline) {
     const auto deadline = arrived + *request.deadline;
-    admission.limit = std::min(admission.limit, deadline - kAnswerMargin);
+    admission.limit = std::min(admission.limit, deadline - kAnswerTransitTime);
     admission.stream_limit =
-        std::min(admission.stream_limit, deadline + kCallerLeaves);
+        std::min(admission.stream_limit, deadline + kDisconnectGrace);
   }
   admission.first_byte_limit = admission.limit;
   if (route.patience > milliseconds(0)) {
-    admission.first_byte_limit =
-        std::min(admission.limit, arrived + route.patience - kAnswerMargin);
+    admission.first_byte_limit = std::min(
+        admission.limit, arrived + route.patience - kAnswerTransitTime);
   }
   if (state.since_stop) {
-    const auto began = arrived - *state.since_stop;
+    const auto stop_began = arrived - *state.since_stop;
     admission.first_byte_limit =
         std::min(admission.first_byte_limit,
-                 ScheduleStop(began, state.stop_grace).last_answers);
+                 ScheduleStop(stop_began, state.stop_grace).last_answers);
   }
   return admission;
 }
@@ -100,19 +103,19 @@
     case AdmissionRefusal::kNone:
       break;
     case AdmissionRefusal::kNotReady:
-      return {kUnavailable, "not_ready", ComeBack::kLater};
-    case AdmissionRefusal::kStoreAway:
-      return {kUnavailable, "store_away", ComeBack::kAfterOutage};
+      return {kUnavailable, "not_ready", RetryAfter::kLater};
+    case AdmissionRefusal::kStoreUnreachable:
+      return {kUnavailable, "store_away", RetryAfter::kAfterStoreOutage};
     case AdmissionRefusal::kNoRoute:
       return {kNotFound, "no_route", std::nullopt};
     case AdmissionRefusal::kStopping:
-      return {kUnavailable, "stopping", ComeBack::kAtOnce};
+      return {kUnavailable, "stopping", RetryAfter::kImmediately};
     case AdmissionRefusal::kUnknownKey:
       return {kUnauthorized, "unknown_key", std::nullopt};
-    case AdmissionRefusal::kConfigUnsure:
-      return {kUnavailable, "config_unsure", ComeBack::kLater};
+    case AdmissionRefusal::kConfigUnconfirmed:
+      return {kUnavailable, "config_unsure", RetryAfter::kLater};
   }
-  return {kUnavailable, "refused", ComeBack::kLater};
+  return {kUnavailable, "refused", RetryAfter::kLater};
 }
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/request_quarantine.cc
+++ b/libs/entry/src/request_quarantine.cc
@@ -19,153 +19,158 @@
 
 namespace {
 
-/** How often old crashes are forgotten. */
+/** Interval at which lapsed crashes are dropped. */
 constexpr milliseconds kExpireInterval{30000};
-/** Where a crash came from, in logs. */
-constexpr std::string_view kSeenHere = "own";
-constexpr std::string_view kFromStore = "store";
-/** An instance that starts is told of works with so many crashes. Most of those
- * with one only ran on an upstream that ended for another reason. */
-constexpr size_t kWorthTelling = 2;
+/** Sources of crashes in log lines, besides names of instances. */
+constexpr std::string_view kSourceThisInstance = "own";
+constexpr std::string_view kSourceStore = "store";
+/** Requests with fewer crashes are not sent to an instance that starts: most of
+ * those with one crash only ran on an upstream that ended for another reason.
+ */
+constexpr size_t kMinCrashes = 2;
 
 }  // namespace
 
-WorkQuarantine::WorkQuarantine(EntryContext& context, InstanceLinks& links)
+RequestQuarantine::RequestQuarantine(EntryContext& context,
+                                     InstanceLinks& links)
     : context_(context), links_(links) {
-  expire_.setInterval(kExpireInterval);
-  connect(&expire_, &QTimer::timeout, this, [this] {
+  expire_timer_.setInterval(kExpireInterval);
+  connect(&expire_timer_, &QTimer::timeout, this, [this] {
     ledger_.Expire(Clock::now());
-    SetMetric();
+    UpdateMetric();
   });
-  expire_.start();
+  expire_timer_.start();
 }
 
-WorkQuarantine::~WorkQuarantine() = default;
+RequestQuarantine::~RequestQuarantine() = default;
 
-void WorkQuarantine::Start(store::ObjectSource& source, std::string kind) {
+void RequestQuarantine::Start(store::ObjectSource& source, std::string kind) {
   if (!context_.Uses(config::Mechanism::kQuarantine)) return;
   archive_ = std::make_unique<QuarantineArchive>(
       source, std::move(kind), [this](std::span<const Crash> crashes) {
-        for (const Crash& crash : crashes) Note(crash, kFromStore);
+        for (const Crash& crash : crashes) Record(crash, kSourceStore);
       });
   archive_->Read();
 }
 
-void WorkQuarantine::OnBrokenOff(const routing::UpstreamPtr& upstream,
-                                 std::vector<BrokenRequest> requests,
-                                 std::function<void()> done) {
+void RequestQuarantine::OnExchangesBroken(
+    const routing::UpstreamPtr& upstream,
+    std::vector<InterruptedRequest> requests, std::function<void()> done) {
   probe_.Ask(upstream,
              [this, upstream, requests = std::move(requests),
               done = std::move(done), at = Clock::now()](bool has_ended) {
-               if (has_ended) NoteCrashes(upstream->entry, requests, at);
+               if (has_ended) RecordCrashes(upstream->entry, requests, at);
                if (done) done();
              });
 }
 
-void WorkQuarantine::NoteCrashes(const routing::UpstreamEntry& upstream,
-                                 std::span<const BrokenRequest> requests,
-                                 Clock::time_point at) {
-  const std::string start = StartOf(upstream);
-  std::vector<Crash> news;
-  for (const BrokenRequest& request : requests) {
-    const Crash crash{.work = request.work,
+void RequestQuarantine::RecordCrashes(
+    const routing::UpstreamEntry& upstream,
+    std::span<const InterruptedRequest> requests, Clock::time_point at) {
+  const std::string process_start = StartOf(upstream);
+  std::vector<Crash> crashes_to_send;
+  for (const InterruptedRequest& request : requests) {
+    const Crash crash{.fingerprint = request.fingerprint,
                       .service = upstream.service,
-                      .upstream = start,
+                      .upstream = process_start,
                       .at = at,
                       .progressed = request.progressed};
-    if (!Note(crash, kSeenHere)) continue;
-    // All that is known of the work: the others may have missed a part.
-    std::ranges::move(ledger_.CrashesUnder(request.work),
-                      std::back_inserter(news));
-    if (archive_ && QuarantinedFor(request.work)) {
-      archive_->Write(request.work, ledger_.CrashesUnder(request.work));
+    if (!Record(crash, kSourceThisInstance)) continue;
+    // All crashes of the request, as other instances may lack some of them.
+    std::ranges::move(ledger_.CrashesOf(request.fingerprint),
+                      std::back_inserter(crashes_to_send));
+    if (archive_ && RemainingQuarantine(request.fingerprint)) {
+      archive_->Write(request.fingerprint,
+                      ledger_.CrashesOf(request.fingerprint));
     }
   }
-  if (news.empty()) return;
-  TellOthers(news);
-  if (archive_) archive_->ReadSoon();
+  if (crashes_to_send.empty()) return;
+  SendToPeers(crashes_to_send);
+  if (archive_) archive_->ReadRateLimited();
 }
 
-bool WorkQuarantine::Note(const Crash& crash, std::string_view source) {
-  // A request without content to go by cannot be told from others.
-  if (crash.work.empty()) return false;
-  const bool before = QuarantinedFor(crash.work).has_value();
-  if (!ledger_.Note(crash)) return false;
+bool RequestQuarantine::Record(const Crash& crash, std::string_view source) {
+  // A request without a fingerprint cannot be distinguished from others.
+  if (crash.fingerprint.empty()) return false;
+  const bool was_quarantined =
+      RemainingQuarantine(crash.fingerprint).has_value();
+  if (!ledger_.Record(crash)) return false;
   utils::DecisionLog("upstream_crashed")
-      .Add("work", crash.work)
+      .Add("work", crash.fingerprint)
       .Add("service", crash.service)
       .Add("upstream", crash.upstream)
       .Add("progressed", crash.progressed)
-      .Add("crashes", ledger_.crashes(crash.work))
+      .Add("crashes", ledger_.crash_count(crash.fingerprint))
       .Add("source", source);
-  const auto pause = QuarantinedFor(crash.work);
-  if (pause && !before) {
+  const auto remaining = RemainingQuarantine(crash.fingerprint);
+  if (remaining && !was_quarantined) {
     utils::DecisionLog("work_quarantined")
-        .Add("work", crash.work)
-        .Add("crashes", ledger_.crashes(crash.work))
-        .Add("for_ms", pause->count())
+        .Add("work", crash.fingerprint)
+        .Add("crashes", ledger_.crash_count(crash.fingerprint))
+        .Add("for_ms", remaining->count())
         .Add("source", source);
-    SetMetric();
+    UpdateMetric();
   }
   return true;
 }
 
-void WorkQuarantine::TellOthers(const std::vector<Crash>& crashes) {
+void RequestQuarantine::SendToPeers(const std::vector<Crash>& crashes) {
   links_.TellAll([&](peer::Frame& frame) {
     std::ranges::copy(crashes, std::back_inserter(frame.crashes));
   });
 }
 
-void WorkQuarantine::OnGoodRun(const std::string& work,
-                               const std::string& service) {
-  const bool quarantined = QuarantinedFor(work).has_value();
-  const GoodRun run{.work = work, .service = service, .at = Clock::now()};
-  if (!ledger_.Note(run)) return;
+void RequestQuarantine::OnGoodRun(const std::string& fingerprint,
+                                  const std::string& service) {
+  const bool was_quarantined = RemainingQuarantine(fingerprint).has_value();
+  const GoodRun run{
+      .fingerprint = fingerprint, .service = service, .at = Clock::now()};
+  if (!ledger_.Record(run)) return;
   utils::DecisionLog("work_acquitted")
-      .Add("work", work)
+      .Add("work", fingerprint)
       .Add("service", service);
   links_.TellAll([&](peer::Frame& frame) { frame.good_runs.push_back(run); });
-  if (quarantined && archive_) {
-    archive_->Write(work, ledger_.CrashesUnder(work));
+  if (was_quarantined && archive_) {
+    archive_->Write(fingerprint, ledger_.CrashesOf(fingerprint));
   }
-  SetMetric();
+  UpdateMetric();
 }
 
-std::optional<milliseconds> WorkQuarantine::QuarantinedFor(
-    std::string_view work) const {
+std::optional<milliseconds> RequestQuarantine::RemainingQuarantine(
+    std::string_view fingerprint) const {
   if (!context_.Uses(config::Mechanism::kQuarantine)) return std::nullopt;
-  return ledger_.QuarantinedFor(work, Clock::now());
+  return ledger_.RemainingQuarantine(fingerprint, Clock::now());
 }
 
-bool WorkQuarantine::IsSuspect(std::string_view work) const {
+bool RequestQuarantine::IsSuspect(std::string_view fingerprint) const {
   return context_.Uses(config::Mechanism::kQuarantine) &&
-         ledger_.IsSuspect(work);
+         ledger_.IsSuspect(fingerprint);
 }
 
-int WorkQuarantine::crashes(std::string_view work) const {
+int RequestQuarantine::crash_count(std::string_view fingerprint) const {
   if (!context_.Uses(config::Mechanism::kQuarantine)) return 0;
-  return ledger_.crashes(work);
+  return ledger_.crash_count(fingerprint);
 }
 
-void WorkQuarantine::OnFrame(const std::string& source,
-                             const peer::Frame& frame) {
-  for (const Crash& crash : frame.crashes) Note(crash, source);
-  for (const GoodRun& run : frame.good_runs) ledger_.Note(run);
+void RequestQuarantine::OnFrame(const std::string& source,
+                                const peer::Frame& frame) {
+  for (const Crash& crash : frame.crashes) Record(crash, source);
+  for (const GoodRun& run : frame.good_runs) ledger_.Record(run);
 }
 
-void WorkQuarantine::OnNewEra() {
-  if (archive_) archive_->WriteAgain();
+void RequestQuarantine::OnNewEra() {
+  if (archive_) archive_->RewriteRecent();
 }
 
-void WorkQuarantine::Introduce(peer::Frame& frame) const {
-  for (const Crash& crash : ledger_.Crashes()) {
-    if (ledger_.CrashesUnder(crash.work).size() < kWorthTelling) continue;
+void RequestQuarantine::AddKnownCrashes(peer::Frame& frame) const {
+  for (const Crash& crash : ledger_.AllCrashes()) {
+    if (ledger_.CrashesOf(crash.fingerprint).size() < kMinCrashes) continue;
     frame.crashes.push_back(crash);
   }
 }
 
-void WorkQuarantine::SetMetric() const {
-  context_.metrics->SetQuarantined(ledger_.quarantined(Clock::now()));
+void RequestQuarantine::UpdateMetric() const {
+  context_.metrics->SetQuarantined(ledger_.quarantined_count(Clock::now()));
 }
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/request_run.cc
+++ b/libs/entry/src/request_run.cc
@@ -37,22 +37,23 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-/** Outcome of a request that ends the upstreams which run it. */
+/** Outcome of a request that is refused because upstreams crash under it. */
 constexpr std::string_view kQuarantined = "quarantined";
 
-/** An engine has fetched a request's inputs so long after the request was
- * sent; it fetches them before it reads the prompt. */
+/** Time from the send of a request until its engine has fetched the inputs,
+ * which it does before it reads the prompt. */
 constexpr milliseconds kInputFetchTime{50};
-/** Pause before upstreams that all have as much as they bear are asked for
- * again, and how often: what waits for longer is not in time. */
+/** Delay before the next choice of an upstream when all have received as many
+ * requests as they could serve when cold, and the largest number of such
+ * delays. A request that waits for longer misses its latency target. */
 constexpr milliseconds kColdWait{100};
-constexpr int kMostColdWaits = 8;
-/** Engines take priorities from 0, first, to this. */
+constexpr int kMaxColdWaits = 8;
+/** Engine priorities are 0 (first) to this value. */
 constexpr int kLowestEnginePriority = 9;
 
-/** @return what copies of the request have in common, whoever takes them. */
-std::string WorkOf(const CallerRequest& request,
-                   std::string_view organisation) {
+/** @return the fingerprint of the request, equal on all instances. */
+std::string FingerprintOf(const CallerRequest& request,
+                          std::string_view organisation) {
   return quarantine::Fingerprint(
       {.caller = organisation.empty() ? request.key : organisation,
        .method = request.method,
@@ -73,12 +74,12 @@
                        CallerRequest request, QObject* parent)
     : QObject(parent),
       context_(context),
-      answer_(connection, [this] { OnCallerGone(); }),
+      answer_(connection, [this] { OnCallerDisconnected(); }),
       request_(std::move(request)),
       arrived_(Clock::now()) {}
 
 RequestRun::~RequestRun() {
-  // An instance that ends with requests open leaves no other trace of them.
+  // No other log line is written for requests in flight when a process ends.
   if (!finished_) LogEnd(0, "cut_by_exit", MsSinceArrival());
 }
 
@@ -102,7 +103,7 @@
   service_ = routing::PickTarget(route_->targets, Uniform());
   context_.retries.OnRequest(service_, now);
   if (!HasUpstreams(context_, service_, *route_, request_.stage_pieces)) {
-    return Refuse("no_upstream", ComeBack::kLater);
+    return Refuse("no_upstream", RetryAfter::kLater);
   }
   StartStages();
 }
@@ -111,7 +112,7 @@
   table_ = context_.table;
   AdmissionState state{.table = table_.get(),
                        .upstreams_known = context_.upstreams_known,
-                       .store_away = context_.store_away,
+                       .store_unreachable = context_.store_away,
                        .since_stop = {},
                        .stop_grace = context_.settings.stop_grace};
   if (context_.stopping_since) {
@@ -120,47 +121,47 @@
   }
   admission_ = Admit(request_, state, arrived_);
   if (IsFinal(admission_.refusal)) {
-    if (!by_latest_config_) {
-      CheckConfig();
+    if (!config_is_latest_) {
+      CheckConfigIsLatest();
       return false;
     }
-    if (!*by_latest_config_) {
-      admission_.refusal = AdmissionRefusal::kConfigUnsure;
+    if (!*config_is_latest_) {
+      admission_.refusal = AdmissionRefusal::kConfigUnconfirmed;
     }
   }
   route_ = admission_.route;
-  work_ = WorkOf(request_, admission_.organisation);
+  fingerprint_ = FingerprintOf(request_, admission_.organisation);
   if (admission_.refusal == AdmissionRefusal::kNone) {
-    if (RefusedAsHarmful()) return false;
+    if (AnswerIfQuarantined()) return false;
     if (!context_.Uses(Mechanism::kUsualDeadlines)) return true;
     time_used_ = context_.usual_deadlines.Used(route_->name, request_.deadline);
     return true;
   }
   const RefusalAnswer answer = AnswerTo(admission_.refusal);
-  if (answer.come_back) {
-    Refuse(answer.why, *answer.come_back);
+  if (answer.retry_after) {
+    Refuse(answer.why, *answer.retry_after);
   } else {
     Fail(answer.status, answer.why);
   }
   return false;
 }
 
-void RequestRun::CheckConfig() {
+void RequestRun::CheckConfigIsLatest() {
   const QPointer<RequestRun> self(this);
   context_.config_check->Ask([self](bool is_latest) {
     if (!self || self->finished_) return;
-    self->by_latest_config_ = is_latest;
+    self->config_is_latest_ = is_latest;
     self->Start();
   });
 }
 
-bool RequestRun::RefusedAsHarmful() {
-  const auto pause = context_.quarantine->QuarantinedFor(work_);
-  if (!pause) return false;
+bool RequestRun::AnswerIfQuarantined() {
+  const auto remaining = context_.quarantine->RemainingQuarantine(fingerprint_);
+  if (!remaining) return false;
   if (may_have_run_) {
     Fail(kBadGateway, kQuarantined);
   } else {
-    Refuse(kQuarantined, *pause);
+    Refuse(kQuarantined, *remaining);
   }
   return true;
 }
@@ -168,16 +169,16 @@
 void RequestRun::StartStages() {
   stages_ = std::make_unique<StageRun>(
       *context_.stages,
-      StagePlan{
-          .request = request_,
-          .route = *route_,
-          .work = work_,
-          .rank = admission_.rank,
-          .due = arrived_ + route_->latency_target - time_used_,
-          .limit = admission_.first_byte_limit,
-          .engine_time = context_.engine_times.Expected(service_, PromptTime()),
-          .times = context_.stage_times,
-          .mechanisms = context_.settings.mechanisms},
+      StagePlan{.request = request_,
+                .route = *route_,
+                .work = fingerprint_,
+                .rank = admission_.rank,
+                .due = arrived_ + route_->latency_target - time_used_,
+                .limit = admission_.first_byte_limit,
+                .engine_time =
+                    context_.engine_times.Expected(service_, PromptReadTime()),
+                .times = context_.stage_times,
+                .mechanisms = context_.settings.mechanisms},
       StageRunEvents{
           .on_ready =
               [this] {
@@ -188,7 +189,7 @@
           .home_zone =
               [this] {
                 if (!route_->carries_prompt) return context_.settings.zone;
-                return HomeZone(context_, service_, Wanted({}));
+                return HomeZone(context_, service_, MakeWantedUpstream({}));
               },
           .maker =
               [this](const std::string& service, const std::string& handle) {
@@ -200,21 +201,22 @@
 }
 
 void RequestRun::OnStageFailed(PieceFailure failure) {
-  if (failure == PieceFailure::kQuarantined && RefusedAsHarmful()) return;
+  if (failure == PieceFailure::kQuarantined && AnswerIfQuarantined()) return;
   if (may_have_run_) return Fail(kBadGateway, "stage_failed");
   if (failure != PieceFailure::kLate) {
-    return Refuse("stage_failed", ComeBack::kSoon);
+    return Refuse("stage_failed", RetryAfter::kSoon);
   }
-  // Late for this process alone: another instance has more time for it.
-  if (context_.stop()) return Refuse("stopping", ComeBack::kAtOnce);
-  Refuse("stage_failed", ComeBack::kAfterOverload);
+  // Late only because this process stops; another instance has more time.
+  if (context_.stop()) return Refuse("stopping", RetryAfter::kImmediately);
+  Refuse("stage_failed", RetryAfter::kAfterOverload);
 }
 
-// One send.
+// Sending to an upstream.
 
-WantedUpstream RequestRun::Wanted(std::string_view results_zone) const {
+WantedUpstream RequestRun::MakeWantedUpstream(
+    std::string_view results_zone) const {
   return {.request = request_,
-          .tried = tried_,
+          .tried = tried_upstreams_,
           .own_zone = context_.settings.zone,
           .results_zone = results_zone};
 }
@@ -222,12 +224,12 @@
 void RequestRun::SendToUpstream() {
   if (TimeLeft() <= milliseconds(0)) return OnTimeLimit();
   const std::string results_zone = stages_->inputs_zone();
-  const WantedUpstream wanted = Wanted(results_zone);
-  const bool suspect = context_.quarantine->IsSuspect(work_);
+  const WantedUpstream wanted = MakeWantedUpstream(results_zone);
+  const bool suspect = context_.quarantine->IsSuspect(fingerprint_);
   if (suspect || !route_->carries_prompt) {
     return SendTo(ChooseAlone(context_,
                               {.service = service_,
-                               .work = work_,
+                               .work = fingerprint_,
                                .has_owner = route_->carries_prompt,
                                .suspect = suspect},
                               wanted));
@@ -239,9 +241,9 @@
                      [this](const routing::UpstreamPtr& u) { SendTo(u); });
 }
 
-bool RequestRun::WaitsForRoom() {
-  if (!MayHaveRoomSoon(context_, service_, tried_)) return false;
-  if (++cold_waits_ > kMostColdWaits) return false;
+bool RequestRun::WaitForCapacity() {
+  if (!MayHaveRoomSoon(context_, service_, tried_upstreams_)) return false;
+  if (++cold_waits_ > kMaxColdWaits) return false;
   utils::DecisionLog("cold_limit_reached")
       .Add("request", request_.attempt_id)
       .Add("service", service_)
@@ -255,20 +257,20 @@
 
 void RequestRun::SendTo(const routing::UpstreamPtr& upstream) {
   if (TimeLeft() <= milliseconds(0)) return OnTimeLimit();
-  // Copies of it may have ended upstreams while this one was in its stages.
-  if (RefusedAsHarmful()) return;
+  // Upstreams may have crashed under copies of the request during its stages.
+  if (AnswerIfQuarantined()) return;
   if (!upstream) {
-    if (WaitsForRoom()) return;
+    if (WaitForCapacity()) return;
     if (may_have_run_) return Fail(kBadGateway, "no_upstream_left");
-    return Refuse("no_upstream", ComeBack::kLater);
+    return Refuse("no_upstream", RetryAfter::kLater);
   }
   if (!context_.client.HasConnection(*upstream, ConnectionLimit())) {
     if (may_have_run_) return Fail(kBadGateway, "no_connection_left");
-    return Refuse("connections_used_up", ComeBack::kSoon);
+    return Refuse("connections_used_up", RetryAfter::kSoon);
   }
   ++sends_;
   events_before_send_ = relay_.events();
-  tried_.push_back(upstream->entry.id);
+  tried_upstreams_.push_back(upstream->entry.id);
   send_ = std::make_unique<UpstreamSend>(
       context_,
       UpstreamSendSpec{
@@ -285,7 +287,7 @@
 int RequestRun::ConnectionLimit() const {
   const routing::ServiceSpec* spec = table_->FindService(service_);
   if (spec == nullptr) return 0;
-  // Until the fleet is known, one: any share of it could be too large.
+  // One until the fleet size is known, as any larger share could be too large.
   const int instances = context_.retries.listed_instances();
   return instances == 0 ? 1 : std::max(1, spec->max_connections / instances);
 }
@@ -310,8 +312,8 @@
 void RequestRun::ReleaseInputsOnceFetched() {
   if (stages_->inputs().empty()) return;
   if (!context_.Uses(Mechanism::kEarlyRelease)) return;
-  // Room for results is what stage upstreams run out of first: they are given
-  // up once fetched, not when the answer begins.
+  // Capacity for results is the resource that stage upstreams exhaust first.
+  // The results are released once fetched instead of when the answer begins.
   QTimer::singleShot(kInputFetchTime, this, [this, send = sends_] {
     if (!finished_ && send_->open() && sends_ == send) stages_->ReleaseAll();
   });
@@ -324,30 +326,31 @@
           .on_too_large =
               [this] {
                 may_have_run_ = true;
-                OnBroken("answer_too_large");
+                OnExchangeBroken("answer_too_large");
               }};
 }
 
 void RequestRun::OnStreamBytes(std::string_view bytes) {
   const AnswerInfo& info = send_->info();
-  if (!info.sealed || info.attempt_id.empty()) return;
+  if (!info.has_receipt || info.attempt_id.empty()) return;
   const std::string events = relay_.Feed(bytes);
-  if (events.empty() || !answer_.caller_waits()) return;
-  if (!answer_.streaming()) PassHead();
+  if (events.empty() || !answer_.caller_connected()) return;
+  if (!answer_.streaming()) ForwardHead();
   send_->PromptRead();
-  // Its upstream may be another one by the time that the caller goes on.
-  answer_.PassEvents(events,
-                     [this](bool paused) { send_->PauseReading(paused); });
+  // `send_` is read when called: the stream may have been resumed at another
+  // upstream by the time that the caller reads on.
+  answer_.WriteEvents(events,
+                      [this](bool paused) { send_->PauseReading(paused); });
 }
 
-milliseconds RequestRun::PromptTime() const {
+milliseconds RequestRun::PromptReadTime() const {
   return milliseconds(static_cast<int64_t>(PromptMs(request_)));
 }
 
-void RequestRun::PassHead() {
+void RequestRun::ForwardHead() {
   first_byte_ms_ = static_cast<int64_t>(MsSinceArrival());
   if (sends_ == 1 && stages_done_ms_ >= 0) {
-    context_.engine_times.Note(service_, PromptTime(),
+    context_.engine_times.Note(service_, PromptReadTime(),
                                milliseconds(first_byte_ms_ - stages_done_ms_));
   }
   answer_.BeginStream(send_->head());
@@ -361,12 +364,12 @@
         head.status == kConflict && !stages_->inputs().empty();
     send_->End(inputs_gone ? Outcome::kAnswered : Outcome::kRefused);
     if (inputs_gone) {
-      tried_.pop_back();
-      if (MaySendAgain(SendEnd::kNotRun) && stages_->Restart("inputs_gone")) {
+      tried_upstreams_.pop_back();
+      if (MayRetry(SendOutcome::kNotRun) && stages_->Restart("inputs_gone")) {
         return;
       }
     }
-    return OnNotRun(SendEnd::kNotRun);
+    return OnNotRun(SendOutcome::kNotRun);
   }
   may_have_run_ = true;
   const std::string_view fault =
@@ -376,55 +379,56 @@
                    .inside_event = relay_.inside_event()});
   if (!fault.empty()) {
     send_->End(Outcome::kBroken);
-    return OnBroken(fault);
+    return OnExchangeBroken(fault);
   }
-  context_.quarantine->OnGoodRun(work_, service_);
+  context_.quarantine->OnGoodRun(fingerprint_, service_);
   if (send_->IsEventStream()) {
     send_->End(Outcome::kAnswered);
-    return PassAnswer();
+    return ForwardAnswer();
   }
   const bool upstream_error = head.status >= kServerError;
   send_->End(upstream_error ? Outcome::kError : Outcome::kAnswered);
   if (upstream_error && route_->repeatable() &&
-      MaySendAgain(SendEnd::kMayHaveRun)) {
+      MayRetry(SendOutcome::kMayHaveRun)) {
     last_error_ =
         http::ResponseMessage{head.status, head.headers, send_->body()};
-    return SendAgain();
+    return Retry();
   }
-  PassAnswer();
+  ForwardAnswer();
 }
 
 void RequestRun::OnFailure(http::ExchangeFailure failure) {
   if (failure == http::ExchangeFailure::kNotSent) {
     send_->End(Outcome::kNotSent);
-    ++unreached_;
-    return OnNotRun(SendEnd::kUnreached);
+    ++unreached_sends_;
+    return OnNotRun(SendOutcome::kUnreached);
   }
   may_have_run_ = true;
   send_->End(Outcome::kBroken);
-  OnBroken(failure == http::ExchangeFailure::kNoAnswer    ? "no_answer"
-           : failure == http::ExchangeFailure::kTruncated ? "answer_cut"
-                                                          : "malformed_answer");
+  OnExchangeBroken(failure == http::ExchangeFailure::kNoAnswer ? "no_answer"
+                   : failure == http::ExchangeFailure::kTruncated
+                       ? "answer_cut"
+                       : "malformed_answer");
 }
 
-void RequestRun::OnNotRun(SendEnd end) {
+void RequestRun::OnNotRun(SendOutcome outcome) {
   utils::DecisionLog("upstream_did_not_run")
       .Add("request", request_.attempt_id)
-      .Add("work", work_)
+      .Add("work", fingerprint_)
       .Add("upstream", send_->upstream()->entry.id)
       .Add("status", send_->head().status)
       .Add("sends", sends_)
       .Add("left_ms", TimeLeft().count());
-  if (MaySendAgain(end)) return SendAgain();
+  if (MayRetry(outcome)) return Retry();
   if (answer_.streaming()) return Fail(kBadGateway, "stream_not_resumed");
   if (may_have_run_) return Fail(kBadGateway, "not_repeated");
-  Refuse("upstreams_full", ComeBack::kSoon);
+  Refuse("upstreams_full", RetryAfter::kSoon);
 }
 
-void RequestRun::OnBroken(std::string_view why) {
+void RequestRun::OnExchangeBroken(std::string_view why) {
   utils::DecisionLog("upstream_broke_off")
       .Add("request", request_.attempt_id)
-      .Add("work", work_)
+      .Add("work", fingerprint_)
       .Add("upstream", send_->upstream()->entry.id)
       .Add("why", why)
       .Add("events", relay_.events())
@@ -433,57 +437,60 @@
   const bool progressed = relay_.events() > events_before_send_;
   relay_.RunEnded();
   const QPointer<RequestRun> self(this);
-  auto go_on = [self, reason = std::string(why)] {
+  auto after_probe = [self, reason = std::string(why)] {
     if (!self || self->finished_) return;
-    self->AfterBroken(reason);
+    self->AfterCrashProbe(reason);
   };
-  context_.quarantine->OnBrokenOff(send_->upstream(),
-                                   {{.work = work_, .progressed = progressed}},
-                                   std::move(go_on));
-  // Only a repeat depends on what is found out.
+  context_.quarantine->OnExchangesBroken(
+      send_->upstream(),
+      {{.fingerprint = fingerprint_, .progressed = progressed}},
+      std::move(after_probe));
+  // Only a retry depends on the result of the probe.
   if (!route_->repeatable()) Fail(kBadGateway, why);
 }
 
-void RequestRun::AfterBroken(std::string_view why) {
-  if (route_->repeatable() && MaySendAgain(SendEnd::kMayHaveRun)) {
-    return SendAgain();
+void RequestRun::AfterCrashProbe(std::string_view why) {
+  if (route_->repeatable() && MayRetry(SendOutcome::kMayHaveRun)) {
+    return Retry();
   }
   Fail(kBadGateway, why);
 }
 
-bool RequestRun::MaySendAgain(SendEnd end) {
-  if (context_.quarantine->QuarantinedFor(work_)) return false;
-  if (end == SendEnd::kUnreached && !context_.Uses(Mechanism::kTryNext)) {
-    end = SendEnd::kNotRun;
+bool RequestRun::MayRetry(SendOutcome outcome) {
+  if (context_.quarantine->RemainingQuarantine(fingerprint_)) return false;
+  if (outcome == SendOutcome::kUnreached &&
+      !context_.Uses(Mechanism::kTryNext)) {
+    outcome = SendOutcome::kNotRun;
   }
-  const Repeat repeat = MayRepeat({.end = end,
-                                   .caller_waits = answer_.caller_waits(),
-                                   .left = TimeLeft(),
-                                   .reached = sends_ - unreached_,
-                                   .max_sends = route_->max_attempts,
-                                   .tried = tried_.size()});
-  return repeat == Repeat::kFree ||
-         (repeat == Repeat::kFromBudget &&
-          TakeRepeats(context_, service_, request_.attempt_id));
-}
-
-void RequestRun::SendAgain() {
+  const RetryDecision decision =
+      DecideRetry({.outcome = outcome,
+                   .connected = answer_.caller_connected(),
+                   .time_left = TimeLeft(),
+                   .received_sends = sends_ - unreached_sends_,
+                   .max_sends = route_->max_attempts,
+                   .tried_upstreams = tried_upstreams_.size()});
+  return decision == RetryDecision::kFree ||
+         (decision == RetryDecision::kFromBudget &&
+          SpendRetryCredit(context_, service_, request_.attempt_id));
+}
+
+void RequestRun::Retry() {
   context_.metrics->OnRepeat(service_);
   if (!stages_->inputs_released() && !stages_->inputs_lost()) {
     return SendToUpstream();
   }
   if (stages_->Restart("send_again")) return;
   if (may_have_run_) return Fail(kBadGateway, "no_time_for_stages");
-  Refuse("no_time_for_stages", ComeBack::kSoon);
+  Refuse("no_time_for_stages", RetryAfter::kSoon);
 }
 
 // The final answer.
 
-void RequestRun::PassAnswer() {
-  if (!answer_.caller_waits()) return;
+void RequestRun::ForwardAnswer() {
+  if (!answer_.caller_connected()) return;
   const http::ResponseHead& head = send_->head();
   if (send_->IsEventStream()) {
-    if (!answer_.streaming()) PassHead();
+    if (!answer_.streaming()) ForwardHead();
     answer_.EndStream();
   } else {
     answer_.Respond({head.status, head.headers, send_->body()});
@@ -491,66 +498,67 @@
   Finish(head.status, "answered");
 }
 
-void RequestRun::Refuse(std::string_view why, ComeBack when) {
-  Refuse(why, ComeBackAfter(when, Uniform()));
+void RequestRun::Refuse(std::string_view why, RetryAfter when) {
+  Refuse(why, RetryAfterDelay(when, Uniform()));
 }
 
-void RequestRun::Refuse(std::string_view why, milliseconds come_back) {
-  if (!answer_.caller_waits()) return;
-  answer_.Respond(context_.wire.encode_own_answer(
-      kUnavailable, request_.attempt_id, come_back));
+void RequestRun::Refuse(std::string_view why, milliseconds retry_after) {
+  if (!answer_.caller_connected()) return;
+  answer_.Respond(context_.wire.encode_local_answer(
+      kUnavailable, request_.attempt_id, retry_after));
   Finish(kUnavailable, why);
 }
 
 void RequestRun::Fail(int status, std::string_view why) {
-  if (!answer_.caller_waits()) return;
+  if (!answer_.caller_connected()) return;
   if (answer_.streaming()) {
-    answer_.BreakOff();
+    answer_.Abort();
   } else if (last_error_ && status >= kServerError) {
     answer_.Respond(*last_error_);
   } else {
-    answer_.Respond(context_.wire.encode_own_answer(status, request_.attempt_id,
-                                                    milliseconds(0)));
+    answer_.Respond(context_.wire.encode_local_answer(
+        status, request_.attempt_id, milliseconds(0)));
   }
   Finish(status, why);
 }
 
 void RequestRun::OnTimeLimit() {
-  // Guard: the margin in which a final answer still travels is no reason to
-  // break off a stream whose caller is there to take the rest.
+  // Guard: `limit` leaves time for a final answer to reach the caller. A stream
+  // in progress needs no such margin and continues until `stream_limit`.
   const auto stream_left = admission_.stream_limit - Clock::now();
   if (answer_.streaming() && send_->open() && stream_left > milliseconds(0)) {
     return limit_timer_.start(std::chrono::ceil<milliseconds>(stream_left));
   }
   if (finished_) return;
-  const bool sent = SentOrRun();
+  const bool sent = MayHaveRun();
   if (send_ && send_->open()) send_->Cancel(Outcome::kTimeout);
   if (sent) return Fail(kGatewayTimeout, "time_limit");
-  Refuse("time_limit_before_send", ComeBack::kLater);
+  Refuse("time_limit_before_send", RetryAfter::kLater);
 }
 
-bool RequestRun::SentOrRun() const {
+bool RequestRun::MayHaveRun() const {
   return may_have_run_ || (send_ && send_->open());
 }
 
-void RequestRun::OnStopBegins(Clock::time_point last_answers) {
+void RequestRun::OnPlannedStop(Clock::time_point last_answers) {
   if (stages_) stages_->LimitTo(last_answers);
 }
 
-// Guard: a process that ends under a request closes its connection with
-// nothing on it. The caller can't tell whether it has run, and does not ask
-// again; an answer says so, or that another instance should be asked at once.
-void RequestRun::EndBeforeExit() {
+// Guard: if the process ends with the request in flight, its connection closes
+// without an answer; the caller cannot tell whether the request has run and
+// does not retry. The answer states that it may have run, or that the caller
+// may retry at another instance at once.
+void RequestRun::AnswerBeforeExit() {
   if (finished_ || answer_.streaming()) return;
-  const bool sent = SentOrRun();
-  // Our end is no timeout of the upstream's: noted as one, it would make the
-  // other instances avoid upstreams that are well.
+  const bool sent = MayHaveRun();
+  // The end of this process is not a timeout of the upstream. Recorded as one,
+  // it would make other instances avoid a working upstream.
   if (send_) send_->Drop();
   if (sent) return Fail(kGatewayTimeout, "stopped");
-  Refuse("stopped_before_send", ComeBack::kAtOnce);
+  Refuse("stopped_before_send", RetryAfter::kImmediately);
 }
 
-void RequestRun::OnCallerGone() {
+void RequestRun::OnCallerDisconnected() {
   if (finished_) return;
   if (send_) send_->Drop();
   Finish(0, "caller_gone");
@@ -578,7 +586,7 @@
       .Add("used_ms", time_used_.count())
       .Add("stages_ms", stages_done_ms_)
       .Add("first_ms", first_byte_ms_)
-      .Add("work", work_)
+      .Add("work", fingerprint_)
       .Add("ms", static_cast<int64_t>(ms));
 }
 
--- a/libs/entry/src/retry_after.cc
+++ b/libs/entry/src/retry_after.cc
@@ -8,44 +8,44 @@
 
 namespace {
 
-/** One turn of an event loop and the way there. */
-constexpr milliseconds kAtOnce{10};
-/** Half a stage call, or two plain requests. */
-constexpr milliseconds kSoon{150};
-/** The first ejection of a failing upstream ends by then. */
-constexpr milliseconds kLater{500};
-/** An overload lasts seconds, and a caller that returns into it is refused
- * again. It can no longer meet its target either way; so it returns once, with
- * most of its time still left. */
-constexpr milliseconds kAfterOverload{1500};
-/** An outage of the store lasts seconds too; the platform's callers wait for a
- * third of their time at most, whatever they are told. */
-constexpr milliseconds kAfterOutage{2000};
-/** Part by which a pause is shortened or lengthened at most. */
+/** One iteration of an event loop plus one network round trip. */
+constexpr milliseconds kImmediateDelay{10};
+/** Half the duration of a stage call, or two requests without stages. */
+constexpr milliseconds kShortDelay{150};
+/** The first ejection of a failing upstream has ended after this delay. */
+constexpr milliseconds kLongDelay{500};
+/** An overload lasts seconds, and a retry during it is refused too. The request
+ * misses its latency target in any case, so it is retried once, after the
+ * overload, with most of its time still left. */
+constexpr milliseconds kOverloadDelay{1500};
+/** An outage of the store lasts seconds too. The platform's callers wait for at
+ * most a third of their time, whatever delay they receive. */
+constexpr milliseconds kStoreOutageDelay{2000};
+/** Largest relative change of a delay, in either direction. */
 constexpr double kSpread = 0.25;
 
-milliseconds Pause(ComeBack when) {
+milliseconds MeanDelay(RetryAfter when) {
   switch (when) {
-    case ComeBack::kAtOnce:
-      return kAtOnce;
-    case ComeBack::kSoon:
-      return kSoon;
-    case ComeBack::kAfterOverload:
-      return kAfterOverload;
-    case ComeBack::kAfterOutage:
-      return kAfterOutage;
-    case ComeBack::kLater:
-      return kLater;
+    case RetryAfter::kImmediately:
+      return kImmediateDelay;
+    case RetryAfter::kSoon:
+      return kShortDelay;
+    case RetryAfter::kAfterOverload:
+      return kOverloadDelay;
+    case RetryAfter::kAfterStoreOutage:
+      return kStoreOutageDelay;
+    case RetryAfter::kLater:
+      return kLongDelay;
   }
-  return kLater;
+  return kLongDelay;
 }
 
 }  // namespace
 
-milliseconds ComeBackAfter(ComeBack when, double draw) {
+milliseconds RetryAfterDelay(RetryAfter when, double draw) {
   const double factor = 1 + kSpread * (2 * draw - 1);
-  return milliseconds(
-      static_cast<int64_t>(static_cast<double>(Pause(when).count()) * factor));
+  return milliseconds(static_cast<int64_t>(
+      static_cast<double>(MeanDelay(when).count()) * factor));
 }
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/retry_credit.cc
+++ b/libs/entry/src/retry_credit.cc
@@ -6,15 +6,15 @@
 
 namespace turmeric::entry {
 
-bool TakeRepeats(EntryContext& context, const std::string& service,
-                 std::string_view request, int repeats) {
+bool SpendRetryCredit(EntryContext& context, const std::string& service,
+                      std::string_view request, int retries) {
   const auto now = routing::Clock::now();
-  const bool taken = context.retries.TrySpend(service, now, repeats);
+  const bool taken = context.retries.TrySpend(service, now, retries);
   if (!taken) context.metrics->OnRepeatRefused(service);
   utils::DecisionLog(taken ? "repeat_taken" : "repeat_refused")
       .Add("request", request)
       .Add("service", service)
-      .Add("repeats", repeats)
+      .Add("repeats", retries)
       .Add("credit_left", context.retries.credit(service))
       .Add("slack_share", context.retries.SlackShare(now))
       .Add("instances", context.retries.listed_instances());
--- a/libs/entry/src/retry_policy.cc
+++ b/libs/entry/src/retry_policy.cc
@@ -4,26 +4,29 @@
 
 namespace {
 
-/** Least time left for a repeat to be worth sending. */
-constexpr std::chrono::milliseconds kLeastForRepeat{50};
-/** Upstreams that one request is tried at without a connection: with half of
- * them gone unnoticed, one request in 64 still finds none. */
-constexpr size_t kMostUnreached = 6;
+/** Least time left for which a retry is worth sending. */
+constexpr std::chrono::milliseconds kMinTime{50};
+/** Largest number of upstreams tried when none can be reached. If half of the
+ * listed upstreams are unreachable, one request in 64 (2^-6) fails. */
+constexpr size_t kMaxUnreachedUpstreams = 6;
 
 }  // namespace
 
-Repeat MayRepeat(const RepeatState& state) {
-  if (!state.caller_waits || state.left < kLeastForRepeat) return Repeat::kNo;
-  switch (state.end) {
-    case SendEnd::kUnreached:
-      return state.tried < kMostUnreached ? Repeat::kFree : Repeat::kNo;
-    case SendEnd::kNotRun:
-      // Bounded by the service's upstreams, each of which is tried once.
-      return Repeat::kFromBudget;
-    case SendEnd::kMayHaveRun:
+RetryDecision DecideRetry(const RetryState& state) {
+  if (!state.connected || state.time_left < kMinTime) return RetryDecision::kNo;
+  switch (state.outcome) {
+    case SendOutcome::kUnreached:
+      return state.tried_upstreams < kMaxUnreachedUpstreams
+                 ? RetryDecision::kFree
+                 : RetryDecision::kNo;
+    case SendOutcome::kNotRun:
+      // Bounded by the number of upstreams, as each one is tried once.
+      return RetryDecision::kFromBudget;
+    case SendOutcome::kMayHaveRun:
       break;
   }
-  return state.reached < state.max_sends ? Repeat::kFromBudget : Repeat::kNo;
+  return state.received_sends < state.max_sends ? RetryDecision::kFromBudget
+                                                : RetryDecision::kNo;
 }
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/stage_dispatcher.cc
+++ b/libs/entry/src/stage_dispatcher.cc
@@ -74,7 +74,7 @@
         stages::QueueRules{.late_last = context_.Uses(Mechanism::kLateLast),
                            .by_zone = context_.Uses(Mechanism::kZoneInQueue),
                            .crashes = [this](const std::string& work) {
-                             return context_.quarantine->crashes(work);
+                             return context_.quarantine->crash_count(work);
                            }});
     queue->name = shard;
     queue->shard = stages::ParseShard(shard);
@@ -151,7 +151,7 @@
 
 std::optional<PieceFailure> StageDispatcher::RefusedAtOnce(
     const Queue& queue, const stages::Piece& piece) const {
-  if (context_.quarantine->QuarantinedFor(piece.work)) {
+  if (context_.quarantine->RemainingQuarantine(piece.work)) {
     return PieceFailure::kQuarantined;
   }
   if (CannotBeInTime(queue, piece)) return PieceFailure::kLate;
@@ -272,7 +272,8 @@
   for (QueuedPiece& q : pieces) {
     // A piece counts like a request for the service: it earns repeats.
     if (q.sends++ > 0 || q.piece.repeated) continue;
-    context_.retries.OnRequest(queue.shard.service, Clock::now(), kPieceWeight);
+    context_.retries.OnRequest(queue.shard.service, Clock::now(),
+                               kPieceCreditWeight);
   }
   const auto timeout = stages::CallTimeout(limits, pieces.size());
   auto* call = new PieceCall(
@@ -339,7 +340,7 @@
     const bool again = result.failure == PieceFailure::kNoRoom ||
                        result.failure == PieceFailure::kFailed;
     if (again && piece.sends < kMaxSends &&
-        TakeRepeats(context_, call.service(), piece.piece.request_id)) {
+        SpendRetryCredit(context_, call.service(), piece.piece.request_id)) {
       queue.pieces.PushBack(std::move(piece));
       continue;
     }
@@ -372,17 +373,18 @@
 }
 
 void StageDispatcher::OnCallBroken(PieceCall& call) {
-  std::vector<BrokenRequest> requests;
+  std::vector<InterruptedRequest> requests;
   for (const QueuedPiece& piece : call.pieces()) {
-    requests.push_back({.work = piece.piece.work, .progressed = false});
+    requests.push_back({.fingerprint = piece.piece.work, .progressed = false});
   }
   auto pieces =
       std::make_shared<std::vector<QueuedPiece>>(std::move(call.pieces()));
-  context_.quarantine->OnBrokenOff(call.upstream(), std::move(requests),
-                                   [this, shard = call.shard(), pieces] {
-                                     Retry(shard, std::move(*pieces), false);
-                                     SchedulePump();
-                                   });
+  context_.quarantine->OnExchangesBroken(call.upstream(), std::move(requests),
+                                         [this, shard = call.shard(), pieces] {
+                                           Retry(shard, std::move(*pieces),
+                                                 false);
+                                           SchedulePump();
+                                         });
 }
 
 void StageDispatcher::Retry(const std::string& shard,
@@ -391,14 +393,15 @@
   Queue& queue = QueueOf(shard);
   const std::string& service = queue.shard.service;
   for (QueuedPiece& piece : pieces) {
-    if (context_.quarantine->QuarantinedFor(piece.piece.work)) {
+    if (context_.quarantine->RemainingQuarantine(piece.piece.work)) {
       piece.events.on_done(
           {.failure = PieceFailure::kQuarantined, .handle = {}, .zone = {}});
       continue;
     }
-    const bool may = certainly_not_run ||
-                     (piece.sends < kMaxSends &&
-                      TakeRepeats(context_, service, piece.piece.request_id));
+    const bool may =
+        certainly_not_run ||
+        (piece.sends < kMaxSends &&
+         SpendRetryCredit(context_, service, piece.piece.request_id));
     if (may) {
       queue.pieces.PushBack(std::move(piece));
     } else {
--- a/libs/entry/src/stage_router.cc
+++ b/libs/entry/src/stage_router.cc
@@ -52,7 +52,7 @@
 uint64_t StageRouter::Submit(const std::string& service, stages::Piece piece,
                              stages::PieceEvents events) {
   if (!piece.repeated) {
-    context_.retries.OnRequest(service, Clock::now(), kPieceWeight);
+    context_.retries.OnRequest(service, Clock::now(), kPieceCreditWeight);
   }
   const uint64_t ticket = next_ticket_++;
   std::string shard = ShardFor(service, {piece.request_id, piece.zone});
@@ -125,7 +125,7 @@
 
 bool StageRouter::TakeRepeats(const std::string& service,
                               const std::string& request, int pieces) {
-  return entry::TakeRepeats(context_, service, request, pieces);
+  return entry::SpendRetryCredit(context_, service, request, pieces);
 }
 
 bool StageRouter::Cancel(const std::string& /*service*/, uint64_t ticket) {
@@ -187,9 +187,9 @@
     // What may have been in a call already is a repeat elsewhere.
     const bool repeat = !again_there && pending.reached;
     pending.piece.repeated = pending.piece.repeated || repeat;
-    if (repeat &&
-        !entry::TakeRepeats(context_, stages::ParseShard(pending.shard).service,
-                            pending.piece.request_id)) {
+    if (repeat && !entry::SpendRetryCredit(
+                      context_, stages::ParseShard(pending.shard).service,
+                      pending.piece.request_id)) {
       Done(ticket,
            {.failure = PieceFailure::kFailed, .handle = {}, .zone = {}});
       continue;
--- a/libs/entry/test/answer_check_test.cc
+++ b/libs/entry/test/answer_check_test.cc
@@ -7,42 +7,42 @@
 
 namespace {
 
-AnswerInfo Own() {
+AnswerInfo InfoWithReceipt() {
   AnswerInfo info;
   info.attempt_id = "r1";
-  info.sealed = true;
+  info.has_receipt = true;
   return info;
 }
 
 }  // namespace
 
-TEST_CASE("an upstream's own answers pass, its errors too") {
+TEST_CASE("answers with receipt, id and plain body pass, errors too") {
   for (const int status : {200, 201, 404, 409, 429, 500, 503}) {
-    REQUIRE(AnswerFault({.status = status, .info = Own()}).empty());
+    REQUIRE(AnswerFault({.status = status, .info = InfoWithReceipt()}).empty());
   }
 }
 
-// Story: a process that took over an upstream's address answers 200 with some
-// text of its own. Passed on, the caller would take it for its result.
-TEST_CASE("a success without receipt, id or plain body is no success") {
-  AnswerInfo unsealed = Own();
-  unsealed.sealed = false;
-  AnswerInfo nameless = Own();
-  nameless.attempt_id.clear();
-  AnswerInfo encoded = Own();
+// Guards against a wrong result: a process that has taken over the address of
+// an upstream answers 200 with unrelated text, which must not reach the caller.
+TEST_CASE("a success without receipt, id or plain body is rejected") {
+  AnswerInfo without_receipt = InfoWithReceipt();
+  without_receipt.has_receipt = false;
+  AnswerInfo without_id = InfoWithReceipt();
+  without_id.attempt_id.clear();
+  AnswerInfo encoded = InfoWithReceipt();
   encoded.encoded = true;
-  for (const AnswerInfo& info : {unsealed, nameless, encoded}) {
+  for (const AnswerInfo& info : {without_receipt, without_id, encoded}) {
     REQUIRE(AnswerFault({.status = 200, .info = info}) ==
             "answer_without_receipt");
-    // A bare error promises nothing and may pass.
+    // An error 500 does not claim "not run" and may be forwarded.
     REQUIRE(AnswerFault({.status = 500, .info = info}).empty());
   }
 }
 
-// Story: something between us and the upstream answers 503 for it after the
-// request ran. Passed on, the caller would be told that it did not run, send
-// it again, and a notice would be printed twice.
-TEST_CASE("a promise that nothing ran needs the upstream's receipt") {
+// Guards against a double run: an intermediary between this instance and the
+// upstream answers 503 after the request has run. The caller would take it for
+// "not run" and retry, and a notice would be printed twice.
+TEST_CASE("an answer that means not run needs the upstream's receipt") {
   AnswerInfo bare;
   for (const int status : {408, 421, 429, 503}) {
     REQUIRE(AnswerFault({.status = status, .info = bare}) ==
@@ -50,15 +50,16 @@
   }
 }
 
-// Story: an upstream stops in the middle of an event and still ends its body
-// in order. Passed on as complete, the caller would miss the rest.
+// Guards against an incomplete stream: an upstream stops in the middle of an
+// event and still ends its body correctly. Forwarded as complete, the stream
+// would lack its rest without the caller's notice.
 TEST_CASE("a stream that ends inside an event is not complete") {
   REQUIRE(AnswerFault({.status = 200,
-                       .info = Own(),
+                       .info = InfoWithReceipt(),
                        .is_event_stream = true,
                        .inside_event = true}) == "stream_cut_in_event");
   REQUIRE(AnswerFault({.status = 200,
-                       .info = Own(),
+                       .info = InfoWithReceipt(),
                        .is_event_stream = true,
                        .inside_event = false})
               .empty());
--- a/libs/entry/test/crash_fleet_test.cc
+++ b/libs/entry/test/crash_fleet_test.cc
@@ -24,73 +24,73 @@
 
 constexpr int kEngines = 12;
 constexpr std::chrono::milliseconds kStep{10};
-constexpr std::chrono::milliseconds kEngineIsBack{4000};
-/** From its start on an engine until it ends the engine. */
-constexpr std::chrono::milliseconds kEndsAfter{100};
+constexpr std::chrono::milliseconds kEngineRestartTime{4000};
+/** From the start of a harmful request on an engine to the crash. */
+constexpr std::chrono::milliseconds kCrashAfter{100};
 constexpr std::chrono::milliseconds kFirstOutput{300};
-constexpr std::chrono::milliseconds kWholeRun{1800};
-constexpr std::chrono::milliseconds kPopularRun{200};
-/** Times that a request runs: two attempts of its caller, on two engines each.
- */
-constexpr int kAttempts = 4;
+constexpr std::chrono::milliseconds kRunTime{1800};
+constexpr std::chrono::milliseconds kFrequentRunTime{200};
+/** Sends of a request: two attempts of its caller, each on two engines. */
+constexpr int kMaxSends = 4;
 
 struct Run {
-  std::string work;
+  std::string fingerprint;
   bool harmful = false;
-  int attempts = 1;
+  int sends = 1;
   UpstreamPtr engine;
   Clock::time_point began;
 };
 
-/** Engines, the requests on them and what all instances know; no instance is
- * cut off. Requests share the first part of their prompt, which draws them to
- * the same engines. */
-class Engines {
+/** Simulates engines, the requests on them and one crash ledger, as if all
+ * instances were connected. Requests share the first part of their prompt, so
+ * that they prefer the same engines. */
+class EngineFleet {
  public:
-  Engines(uint32_t seed, int harmful_works)
-      : random_(seed), harmful_works_(harmful_works) {
+  EngineFleet(uint32_t seed, int harmful_requests)
+      : random_(seed), harmful_requests_(harmful_requests) {
     for (int i = 0; i < kEngines; ++i) engines_.push_back(NewEngine());
   }
 
   void Step() {
     now_ += kStep;
-    if (random_() % 3 == 0) Arrive("w" + std::to_string(++number_), false);
-    if (harmful_works_ > 0 && random_() % 40 == 0) {
-      Arrive("harmful" + std::to_string(random_() % harmful_works_), true);
+    if (random_() % 3 == 0) Arrive("w" + std::to_string(++harmless_), false);
+    if (harmful_requests_ > 0 && random_() % 40 == 0) {
+      Arrive("harmful" + std::to_string(random_() % harmful_requests_), true);
     }
     std::erase_if(runs_, [this](const Run& run) {
-      const bool popular = run.work == "popular";
-      const auto whole = popular ? kPopularRun : kWholeRun;
-      if (run.harmful || now_ - run.began < whole) return false;
+      const bool is_frequent = run.fingerprint == "popular";
+      const auto run_time = is_frequent ? kFrequentRunTime : kRunTime;
+      if (run.harmful || now_ - run.began < run_time) return false;
       --run.engine->in_flight;
-      ledger_.Note(GoodRun{run.work, "llm", now_});
+      ledger_.Record(GoodRun{run.fingerprint, "llm", now_});
       return true;
     });
     const auto cause = std::ranges::find_if(runs_, [this](const Run& run) {
-      return run.harmful && now_ - run.began >= kEndsAfter;
+      return run.harmful && now_ - run.began >= kCrashAfter;
     });
-    if (cause != runs_.end()) End(cause->engine);
+    if (cause != runs_.end()) CrashEngine(cause->engine);
     for (auto& engine : engines_) {
       if (engine->listed || now_ < engine->ejected_till) continue;
       engine = NewEngine();
     }
   }
 
-  /** The first engines lose power at one moment. */
+  /** Ends the first engines at the same time, as in a loss of power.
+   * @param engines their number. */
   void LosePower(int engines) {
     const std::vector<UpstreamPtr> all = engines_;
-    for (int i = 0; i < engines; ++i) End(all[static_cast<size_t>(i)]);
+    for (int i = 0; i < engines; ++i) CrashEngine(all[static_cast<size_t>(i)]);
   }
-  /** The same request arrives again and again. @return true if it may run. */
-  bool ArrivePopular() {
-    const bool may_run = !ledger_.QuarantinedFor("popular", now_);
+  /** Sends one copy of a frequent request. @return true if it may run. */
+  bool ArriveFrequent() {
+    const bool may_run = !ledger_.RemainingQuarantine("popular", now_);
     Arrive("popular", false);
     return may_run;
   }
 
-  int ended() const { return ended_; }
-  int innocent() const { return number_; }
-  int innocent_refused() const { return innocent_refused_; }
+  int crashed() const { return crashed_; }
+  int harmless() const { return harmless_; }
+  int harmless_refused() const { return harmless_refused_; }
 
  private:
   UpstreamPtr NewEngine() {
@@ -100,26 +100,26 @@
     return engine;
   }
 
-  void Arrive(std::string work, bool harmful) {
-    Send({.work = std::move(work),
+  void Arrive(std::string fingerprint, bool harmful) {
+    Send({.fingerprint = std::move(fingerprint),
           .harmful = harmful,
-          .attempts = 1,
+          .sends = 1,
           .engine = nullptr,
           .began = now_});
   }
 
   void Send(Run run) {
-    if (ledger_.QuarantinedFor(run.work, now_)) {
-      if (!run.harmful) ++innocent_refused_;
+    if (ledger_.RemainingQuarantine(run.fingerprint, now_)) {
+      if (!run.harmful) ++harmless_refused_;
       return;
     }
     ChoiceRequest request;
     request.has_prompt = true;
     request.shared_part = "shared";
-    request.session_part = run.work;
+    request.session_part = run.fingerprint;
     request.shared_ms = 60;
-    run.engine = ledger_.IsSuspect(run.work)
-                     ? ChooseApart(engines_, run.work, {}, now_)
+    run.engine = ledger_.IsSuspect(run.fingerprint)
+                     ? ChooseApart(engines_, run.fingerprint, {}, now_)
                      : ChooseUpstream(engines_, request, now_);
     if (!run.engine) return;
     run.began = now_;
@@ -127,83 +127,84 @@
     runs_.push_back(std::move(run));
   }
 
-  void End(const UpstreamPtr& engine) {
-    ++ended_;
+  void CrashEngine(const UpstreamPtr& engine) {
+    ++crashed_;
     engine->listed = false;
-    engine->ejected_till = now_ + kEngineIsBack;
-    std::vector<Run> broken;
+    engine->ejected_till = now_ + kEngineRestartTime;
+    std::vector<Run> interrupted;
     std::erase_if(runs_, [&](const Run& run) {
       if (run.engine != engine) return false;
-      broken.push_back(run);
+      interrupted.push_back(run);
       return true;
     });
-    for (const Run& run : broken) {
-      ledger_.Note(Crash{.work = run.work,
-                         .service = "llm",
-                         .upstream = engine->entry.id,
-                         .at = now_,
-                         .progressed = now_ - run.began > kFirstOutput});
+    for (const Run& run : interrupted) {
+      ledger_.Record(Crash{.fingerprint = run.fingerprint,
+                           .service = "llm",
+                           .upstream = engine->entry.id,
+                           .at = now_,
+                           .progressed = now_ - run.began > kFirstOutput});
     }
-    for (Run& run : broken) {
-      if (++run.attempts <= kAttempts) Send(std::move(run));
+    for (Run& run : interrupted) {
+      if (++run.sends <= kMaxSends) Send(std::move(run));
     }
   }
 
   std::mt19937 random_;
-  uint32_t harmful_works_;
+  uint32_t harmful_requests_;
   Clock::time_point now_{1h};
   CrashLedger ledger_;
   std::vector<UpstreamPtr> engines_;
   std::vector<Run> runs_;
-  int number_ = 0;
+  int harmless_ = 0;
   int started_ = 0;
-  int ended_ = 0;
-  int innocent_refused_ = 0;
+  int crashed_ = 0;
+  int harmless_refused_ = 0;
 };
 
 }  // namespace
 
-// Guards against a request that ends engines until none is left, and against
-// refusing what ran beside it on engine after engine.
-TEST_CASE("works that end engines are stopped, those beside them go on") {
-  int innocent = 0;
-  int innocent_refused = 0;
+// Guards against a request that crashes engine after engine until none is left,
+// and against refusing requests that ran beside it.
+TEST_CASE("requests that crash engines are stopped, others are served") {
+  int harmless = 0;
+  int harmless_refused = 0;
   for (uint32_t seed = 1; seed <= 200; ++seed) {
-    const int harmful_works = 1 + static_cast<int>(seed % 3);
-    Engines engines(seed, harmful_works);
+    const int harmful_requests = 1 + static_cast<int>(seed % 3);
+    EngineFleet engines(seed, harmful_requests);
     for (int step = 0; step < 3000; ++step) engines.Step();
-    CAPTURE(seed, harmful_works);
-    // Three each, and what copies that were on engines already end besides.
-    REQUIRE(engines.ended() <= harmful_works * 6);
-    innocent += engines.innocent();
-    innocent_refused += engines.innocent_refused();
+    CAPTURE(seed, harmful_requests);
+    // Three crashes per request, and those by copies already in flight.
+    REQUIRE(engines.crashed() <= harmful_requests * 6);
+    harmless += engines.harmless();
+    harmless_refused += engines.harmless_refused();
   }
-  // Fewer than one in a thousand, while engines end under it.
-  REQUIRE(innocent_refused * 1000 < innocent);
+  // Fewer than one in a thousand, while engines crash.
+  REQUIRE(harmless_refused * 1000 < harmless);
 }
 
-// Guards against a popular request that is refused for minutes, as it ran on
-// upstreams which lost power for a reason of their own.
-TEST_CASE("after an outage what ran in it is served again") {
+// Guards against a frequent request that is refused for minutes because it ran
+// on upstreams which lost power.
+TEST_CASE("requests in flight in an outage are served again after it") {
   constexpr int kOutageAt = 600;
   constexpr int kSecondOutageAt = 1300;
-  constexpr int kServedAgain = 350;  // Steps: 3.5 s.
-  for (const int out : {3, 4, 8, 10, kEngines}) {
+  constexpr int kRecoverySteps = 350;  // Steps: 3.5 s.
+  for (const int lost : {3, 4, 8, 10, kEngines}) {
     for (const int outages : {1, 2}) {
-      Engines engines(1, 0);
+      EngineFleet engines(1, 0);
       int refused_later = 0;
       for (int step = 0; step < 2400; ++step) {
         engines.Step();
-        const bool lately =
-            (step >= kOutageAt && step < kOutageAt + kServedAgain) ||
-            (step >= kSecondOutageAt && step < kSecondOutageAt + kServedAgain);
-        if (step % 2 == 0 && !engines.ArrivePopular() && !lately) {
+        const bool in_recovery =
+            (step >= kOutageAt && step < kOutageAt + kRecoverySteps) ||
+            (step >= kSecondOutageAt &&
+             step < kSecondOutageAt + kRecoverySteps);
+        if (step % 2 == 0 && !engines.ArriveFrequent() && !in_recovery) {
           ++refused_later;
         }
-        if (step == kOutageAt) engines.LosePower(out);
-        if (step == kSecondOutageAt && outages == 2) engines.LosePower(out);
+        if (step == kOutageAt) engines.LosePower(lost);
+        if (step == kSecondOutageAt && outages == 2) engines.LosePower(lost);
       }
-      CAPTURE(out, outages);
+      CAPTURE(lost, outages);
       REQUIRE(refused_later == 0);
     }
   }
--- a/libs/entry/test/event_splitter_test.cc
+++ b/libs/entry/test/event_splitter_test.cc
@@ -15,9 +15,10 @@
   REQUIRE_FALSE(splitter.has_tail());
 }
 
-// Story: an engine process dies in the middle of an event. Half an event
-// passed on would be joined with what another engine goes on with.
-TEST_CASE("part of an event is held back and can be dropped") {
+// Guards against a corrupt stream: an engine crashes in the middle of an event.
+// If its part were forwarded, the events of the engine that resumes the stream
+// would be appended to it.
+TEST_CASE("part of an event is buffered and can be discarded") {
   EventSplitter splitter;
   REQUIRE(splitter.Feed("id: 1\ndata: a\n\nid: 2\nda").size() == 1);
   REQUIRE(splitter.has_tail());
@@ -27,7 +28,7 @@
   REQUIRE(events[0].bytes == "id: 2\ndata: b\n\n");
 }
 
-TEST_CASE("events are the same however the bytes are cut") {
+TEST_CASE("events do not depend on how the body is divided into reads") {
   const std::string bytes = "id: 1\r\ndata: a\r\n\r\nid: 2\ndata: b\n\n";
   for (size_t step = 1; step < bytes.size(); ++step) {
     EventSplitter splitter;
@@ -44,7 +45,7 @@
   }
 }
 
-TEST_CASE("an event without a number has no id") {
+TEST_CASE("an event without a numeric id has no id") {
   EventSplitter splitter;
   const auto events = splitter.Feed("data: a\n\nid: x\ndata: b\n\n");
   REQUIRE(events.size() == 2);
--- a/libs/entry/test/quarantine_archive_test.cc
+++ b/libs/entry/test/quarantine_archive_test.cc
@@ -10,9 +10,9 @@
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using turmeric::entry::QuarantineArchive;
 using turmeric::quarantine::Clock;
+using turmeric::quarantine::ClockReading;
 using turmeric::quarantine::Crash;
 using turmeric::quarantine::EncodeCrashes;
-using turmeric::quarantine::Moment;
 using turmeric::store::ObjectSource;
 using turmeric::store::SourceBatch;
 using turmeric::store::SourceCallback;
@@ -22,7 +22,7 @@
 
 namespace {
 
-/** A store that answers at once, or refuses its first writes. */
+/** A store that answers at once and rejects its first `refusals` writes. */
 class CountingSource : public ObjectSource {
  public:
   void List(const std::string&, Freshness freshness,
@@ -49,7 +49,7 @@
 };
 
 std::vector<Crash> OneCrash() {
-  return {{.work = "w",
+  return {{.fingerprint = "w",
            .service = "llm",
            .upstream = "i-1",
            .at = Clock::now(),
@@ -65,10 +65,10 @@
 }  // namespace
 
 TEST_CASE(
-    "quarantined work is read from what may be stale, unreadable left out") {
+    "stale reads suffice for the quarantine, unreadable objects are left out") {
   CountingSource source;
   source.objects = {
-      {.name = "w", .spec = EncodeCrashes(OneCrash(), Moment::Now())},
+      {.name = "w", .spec = EncodeCrashes(OneCrash(), ClockReading::Now())},
       {.name = "x", .spec = {{"crashes", "many"}}}};
   std::vector<Crash> read;
   QuarantineArchive archive(source, "quarantine", [&](auto crashes) {
@@ -77,25 +77,24 @@
   archive.Read();
   REQUIRE(source.lists == std::vector{ObjectSource::Freshness::kMayBeStale});
   REQUIRE(read.size() == 1);
-  REQUIRE(read[0].work == "w");
+  REQUIRE(read[0].fingerprint == "w");
 }
 
-// Guards against a call to the store for each of the crashes of a second.
-TEST_CASE("crashes in a row read the store once a second") {
+// Guards against one call to the store per crash.
+TEST_CASE("a series of crashes reads the store once per second") {
   CountingSource source;
   QuarantineArchive archive(source, "quarantine", [](auto) {});
-  for (int i = 0; i < 10; ++i) archive.ReadSoon();
+  for (int i = 0; i < 10; ++i) archive.ReadRateLimited();
   REQUIRE(source.lists.size() == 1);
-  // What was written since is read all the same.
+  // A later read follows, which includes writes since the first one.
   Wait(1200ms);
   REQUIRE(source.lists.size() == 2);
   Wait(1200ms);
   REQUIRE(source.lists.size() == 2);
 }
 
-// Guards against a quarantine that is lost as the store was away just then.
-TEST_CASE(
-    "a write that the store refused is made again, more and more seldom") {
+// Guards against a quarantine that is lost because the store was unreachable.
+TEST_CASE("a rejected write is retried with growing backoff") {
   CountingSource source;
   source.refusals = 2;
   QuarantineArchive archive(source, "quarantine", [](auto) {});
--- a/libs/entry/test/request_admission_test.cc
+++ b/libs/entry/test/request_admission_test.cc
@@ -56,26 +56,27 @@
 
 }  // namespace
 
-TEST_CASE("nothing is known: not ready, whatever is asked") {
+TEST_CASE("every request is refused as not ready before the first read") {
   REQUIRE(Admit(MakeRequest("/closed/x", "key"), {}, kNow).refusal ==
           AdmissionRefusal::kNotReady);
-  REQUIRE(Admit(MakeRequest("/closed/x", "key"), {.store_away = true}, kNow)
-              .refusal == AdmissionRefusal::kStoreAway);
+  REQUIRE(
+      Admit(MakeRequest("/closed/x", "key"), {.store_unreachable = true}, kNow)
+          .refusal == AdmissionRefusal::kStoreUnreachable);
 }
 
-TEST_CASE("what no configuration allows is refused for good, nothing else") {
+TEST_CASE("only refusals by the configuration are final") {
   using turmeric::entry::IsFinal;
   REQUIRE(IsFinal(AdmissionRefusal::kNoRoute));
   REQUIRE(IsFinal(AdmissionRefusal::kUnknownKey));
   for (const auto refusal :
        {AdmissionRefusal::kNone, AdmissionRefusal::kNotReady,
-        AdmissionRefusal::kStoreAway, AdmissionRefusal::kStopping,
-        AdmissionRefusal::kConfigUnsure}) {
+        AdmissionRefusal::kStoreUnreachable, AdmissionRefusal::kStopping,
+        AdmissionRefusal::kConfigUnconfirmed}) {
     REQUIRE_FALSE(IsFinal(refusal));
   }
 }
 
-TEST_CASE("route and key decide") {
+TEST_CASE("route and key decide on admission") {
   const RouteTable table = MakeTable();
   const AdmissionState state = Ready(table);
   const auto refusal = [&](const char* target, const char* key) {
@@ -98,16 +99,17 @@
   REQUIRE(limit > kNow + 900ms);
 }
 
-TEST_CASE("an organisation's rank goes before its route's") {
+TEST_CASE("an organisation's rank takes precedence over its route's") {
   const RouteTable table = MakeTable();
-  const auto usual = Admit(MakeRequest("/closed/x", "key"), Ready(table), kNow);
-  const auto first =
+  const auto default_rank =
+      Admit(MakeRequest("/closed/x", "key"), Ready(table), kNow);
+  const auto first_rank =
       Admit(MakeRequest("/closed/x", "first"), Ready(table), kNow);
-  REQUIRE(first.rank < usual.rank);
-  REQUIRE(usual.rank <= 9);
+  REQUIRE(first_rank.rank < default_rank.rank);
+  REQUIRE(default_rank.rank <= 9);
 }
 
-TEST_CASE("a stopping instance still says what it would not serve anyway") {
+TEST_CASE("a stopping instance still reports that no route matches") {
   const RouteTable table = MakeTable();
   AdmissionState state = Ready(table);
   state.since_stop = 7000ms;
@@ -117,9 +119,9 @@
           AdmissionRefusal::kNoRoute);
 }
 
-// Story: an engine dies, and the engine that goes on repeats the last event
-// before the caller's place. The caller must see each event once.
-TEST_CASE("a relay passes each event once over several runs") {
+// Guards against duplicate events: an engine crashes, and the engine that
+// resumes the stream sends an event which the caller has already received.
+TEST_CASE("a stream forwards each event once over several runs") {
   StreamRelay relay;
   REQUIRE(relay.Feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
   REQUIRE(relay.inside_event());
@@ -131,26 +133,30 @@
   REQUIRE_FALSE(relay.inside_event());
 }
 
-TEST_CASE("what may be taken elsewhere or later says when to return") {
+TEST_CASE("refusals that are not final have a retry delay") {
   using turmeric::entry::AnswerTo;
-  using turmeric::entry::ComeBack;
-  REQUIRE(AnswerTo(AdmissionRefusal::kStopping).come_back == ComeBack::kAtOnce);
-  REQUIRE(AnswerTo(AdmissionRefusal::kNotReady).come_back == ComeBack::kLater);
-  REQUIRE(AnswerTo(AdmissionRefusal::kStoreAway).come_back ==
-          ComeBack::kAfterOutage);
+  using turmeric::entry::RetryAfter;
+  REQUIRE(AnswerTo(AdmissionRefusal::kStopping).retry_after ==
+          RetryAfter::kImmediately);
+  REQUIRE(AnswerTo(AdmissionRefusal::kNotReady).retry_after ==
+          RetryAfter::kLater);
+  REQUIRE(AnswerTo(AdmissionRefusal::kStoreUnreachable).retry_after ==
+          RetryAfter::kAfterStoreOutage);
   REQUIRE(AnswerTo(AdmissionRefusal::kNoRoute).status == 404);
-  REQUIRE_FALSE(AnswerTo(AdmissionRefusal::kNoRoute).come_back.has_value());
+  REQUIRE_FALSE(AnswerTo(AdmissionRefusal::kNoRoute).retry_after.has_value());
   REQUIRE(AnswerTo(AdmissionRefusal::kUnknownKey).status == 401);
-  REQUIRE(AnswerTo(AdmissionRefusal::kConfigUnsure).status == 503);
-  REQUIRE(AnswerTo(AdmissionRefusal::kConfigUnsure).come_back ==
-          ComeBack::kLater);
-  REQUIRE_FALSE(AnswerTo(AdmissionRefusal::kUnknownKey).come_back.has_value());
+  REQUIRE(AnswerTo(AdmissionRefusal::kConfigUnconfirmed).status == 503);
+  REQUIRE(AnswerTo(AdmissionRefusal::kConfigUnconfirmed).retry_after ==
+          RetryAfter::kLater);
+  REQUIRE_FALSE(
+      AnswerTo(AdmissionRefusal::kUnknownKey).retry_after.has_value());
 }
 
-// Story: in a burst a chat with a deadline of twenty seconds waits for its
-// stages. Its caller gives up after eight, when nothing has come; the work
-// goes on for nobody, and the caller was never told to come back.
-TEST_CASE("a stream must begin while its caller still waits") {
+// Guards against work for a caller that has disconnected: in an overload a chat
+// with a deadline of 20 s waits for its stages, and its caller disconnects
+// after 8 s without a first byte. Without an earlier limit the stages go on,
+// and the caller never receives a Retry-After delay.
+TEST_CASE("a stream must begin within the patience of its route") {
   RouteTable table = MakeTable();
   for (Route& route : table.routes) {
     route.timeout = 20s;
@@ -166,9 +172,9 @@
   REQUIRE(shorter.first_byte_limit == shorter.limit);
 }
 
-// An instance that stops takes a chat of twenty seconds. Its stages were
-// planned for a time at which the process would have gone, and it learnt only
-// then that they would be late.
+// Guards against stages that are planned beyond the end of the process: a
+// stopping instance admits a chat with a time limit of 20 s and finds out only
+// at its exit that the stages are late.
 TEST_CASE("while stopping, an answer must begin before the process ends") {
   RouteTable table = MakeTable();
   for (Route& route : table.routes) route.timeout = 20s;
@@ -180,11 +186,11 @@
   REQUIRE(admission.first_byte_limit > kNow + 5000ms);
 }
 
-// A stream was reset in the middle 15 ms before its caller's deadline, four of
-// its five events passed on: the margin in which a last answer still travels
-// was held against an answer that was already on its way. A caller leaves by
-// itself at its deadline; until then it gets what comes.
-TEST_CASE("a stream that has begun goes on to its caller's deadline") {
+// Guards against a stream that is aborted too early: the 15 ms margin which
+// lets a final answer reach its caller was applied to a stream in progress,
+// which was reset with four of its five events sent. A caller disconnects by
+// itself at its deadline; until then the stream continues.
+TEST_CASE("a stream that has begun continues to its caller's deadline") {
   RouteTable table = MakeTable();
   for (Route& route : table.routes) route.timeout = 6000ms;
   CallerRequest request = MakeRequest("/closed/x", "key");
--- a/libs/entry/test/retry_after_test.cc
+++ b/libs/entry/test/retry_after_test.cc
@@ -5,43 +5,44 @@
 #include <catch2/catch.hpp>
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
-using turmeric::entry::ComeBack;
-using turmeric::entry::ComeBackAfter;
-
-TEST_CASE("the longer the cause lasts, the later callers return") {
-  REQUIRE(ComeBackAfter(ComeBack::kAtOnce, 0.999) <
-          ComeBackAfter(ComeBack::kSoon, 0));
-  REQUIRE(ComeBackAfter(ComeBack::kSoon, 0.999) <
-          ComeBackAfter(ComeBack::kLater, 0));
+using turmeric::entry::RetryAfter;
+using turmeric::entry::RetryAfterDelay;
+
+TEST_CASE("the Retry-After delay grows with the duration of the cause") {
+  REQUIRE(RetryAfterDelay(RetryAfter::kImmediately, 0.999) <
+          RetryAfterDelay(RetryAfter::kSoon, 0));
+  REQUIRE(RetryAfterDelay(RetryAfter::kSoon, 0.999) <
+          RetryAfterDelay(RetryAfter::kLater, 0));
 }
 
-// Story: a queue is full and a hundred callers are refused within some
-// milliseconds. Told the same pause, they all return in one instant and are
-// refused again.
-TEST_CASE("the refused return spread over half of the pause") {
-  REQUIRE(ComeBackAfter(ComeBack::kLater, 0.0) == 375ms);
-  REQUIRE(ComeBackAfter(ComeBack::kLater, 0.5) == 500ms);
-  REQUIRE(ComeBackAfter(ComeBack::kLater, 0.9999) > 620ms);
+// Guards against synchronised retries: a full queue refuses a hundred callers
+// within a few milliseconds; with equal delays they all retry at the same
+// moment and are refused a second time.
+TEST_CASE("retries are spread over half of the delay") {
+  REQUIRE(RetryAfterDelay(RetryAfter::kLater, 0.0) == 375ms);
+  REQUIRE(RetryAfterDelay(RetryAfter::kLater, 0.5) == 500ms);
+  REQUIRE(RetryAfterDelay(RetryAfter::kLater, 0.9999) > 620ms);
 }
 
-// Story: a burst of five seconds is on. Callers that are refused return after
-// half a second, into the same burst, and are refused for good.
-TEST_CASE("who is refused by an overload stays away for longer") {
-  REQUIRE(ComeBackAfter(ComeBack::kLater, 0.999) <
-          ComeBackAfter(ComeBack::kAfterOverload, 0));
-  REQUIRE(ComeBackAfter(ComeBack::kAfterOverload, 0.999) < 2000ms);
+// Guards against retries within the same overload: in a burst of five seconds,
+// callers that retry after half a second are refused for the second time and
+// abandon the request.
+TEST_CASE("the delay after an overload is longer than the usual one") {
+  REQUIRE(RetryAfterDelay(RetryAfter::kLater, 0.999) <
+          RetryAfterDelay(RetryAfter::kAfterOverload, 0));
+  REQUIRE(RetryAfterDelay(RetryAfter::kAfterOverload, 0.999) < 2000ms);
 }
 
-// Guards against callers that spend their only return while the store of an
-// instance that has just started is still away.
-TEST_CASE("who is refused in an outage of the store stays away for longer") {
-  REQUIRE(ComeBackAfter(ComeBack::kAfterOutage, 0) >= 1500ms);
-  REQUIRE(ComeBackAfter(ComeBack::kAfterOutage, 0.999) < 2500ms);
+// Guards against callers that use up their only retry while the store is still
+// unreachable for an instance that has just started.
+TEST_CASE("the delay in a store outage is between 1.5 s and 2.5 s") {
+  REQUIRE(RetryAfterDelay(RetryAfter::kAfterStoreOutage, 0) >= 1500ms);
+  REQUIRE(RetryAfterDelay(RetryAfter::kAfterStoreOutage, 0.999) < 2500ms);
 }
 
-TEST_CASE("a pause is never zero: that would mean none was told") {
+TEST_CASE("a delay is never zero, which would mean no Retry-After field") {
   REQUIRE(rc::check([] {
     const double draw = *rc::gen::inRange(0, 10000) / 10000.0;
-    RC_ASSERT(ComeBackAfter(ComeBack::kAtOnce, draw) >= 7ms);
+    RC_ASSERT(RetryAfterDelay(RetryAfter::kImmediately, draw) >= 7ms);
   }));
 }
--- a/libs/entry/test/retry_fleet_test.cc
+++ b/libs/entry/test/retry_fleet_test.cc
@@ -14,7 +14,7 @@
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using std::chrono::milliseconds;
-using turmeric::entry::kPieceWeight;
+using turmeric::entry::kPieceCreditWeight;
 using turmeric::entry::RetryBudgets;
 using turmeric::routing::Clock;
 using turmeric::routing::RetryBudgetLimits;
@@ -24,24 +24,26 @@
 constexpr auto kService = "service";
 constexpr milliseconds kStep{20};
 constexpr auto kWindow = 10s;
-/** Of a request to the instance, and of a repeat to its upstream. */
-constexpr int kLatestMs = 500;
-/** The list is read so often while an instance starts, and later. */
-constexpr auto kEarlyRead = 1500ms;
+/** Longest latency of a request to its instance and of a retry to its upstream.
+ */
+constexpr int kMaxLatencyMs = 500;
+/** Intervals between reads of the list: the first reads after the start of an
+ * instance, and later ones. */
+constexpr auto kEarlyReadInterval = 1500ms;
 constexpr int kEarlyReads = 4;
-constexpr auto kLateRead = 10s;
-constexpr int kStalestListMs = 3000;
-
-/** How often things happen, each in so many steps of the fleet; 0: never. */
-struct Troubles {
-  int kill = 0;       ///< Of one instance.
-  int kill_all = 0;   ///< Of all at once.
-  int cut = 0;        ///< Of one instance from the list, for up to 40 s.
-  int store_off = 0;  ///< For all, for up to 20 s.
-  int join = 0;       ///< Another instance.
-  int shift = 0;      ///< Traffic goes to another part of the fleet.
-  int burst = 0;      ///< Traffic grows to eight times, or falls to none.
-  int recover = 0;    ///< The service, or it begins to fail again.
+constexpr auto kLateReadInterval = 10s;
+constexpr int kMaxListAgeMs = 3000;
+
+/** Mean number of simulation steps between two faults of a kind; 0: never. */
+struct Faults {
+  int kill = 0;          ///< One instance is killed.
+  int kill_all = 0;      ///< All instances are killed at once.
+  int cut = 0;           ///< One instance cannot read the list, for up to 40 s.
+  int store_outage = 0;  ///< No instance can read the list, for up to 20 s.
+  int join = 0;          ///< An instance joins.
+  int shift = 0;         ///< Traffic moves to another part of the fleet.
+  int burst = 0;         ///< Traffic grows up to eightfold or stops.
+  int recover = 0;       ///< The service recovers or begins to fail.
 };
 
 struct Instance {
@@ -49,73 +51,77 @@
       : budgets(limits, first) {}
 
   RetryBudgets budgets;
-  Clock::time_point away_till;
-  Clock::time_point cut_till;
+  Clock::time_point down_until;
+  Clock::time_point cut_until;
   Clock::time_point next_read;
-  Clock::time_point entered_at;  ///< In the list.
+  Clock::time_point entered_at;  ///< When it was added to the list.
   bool entered = false;
   int reads = 0;
   int starts = 0;
 };
 
-/** How a service is called. */
-enum class Calls {
-  kByEntry,  ///< By the instance that has the request.
-  kByOwner,  ///< As pieces of stages, which one instance collects for all.
+/** Which instance calls the service. */
+enum class CallPattern {
+  kByRequestInstance,  ///< The instance that has the request.
+  kByOwner,  ///< One instance, which collects the pieces (units of stage
+             ///< work) of all instances.
 };
 
-/** A fleet before one service that fails all its requests for a time. */
-class World {
+/** Simulates a fleet of instances that calls one service; at times the service
+ * fails all requests. */
+class FleetSimulation {
  public:
-  World(uint32_t seed, size_t instances, RetryBudgetLimits limits,
-        Troubles troubles, Calls calls = Calls::kByEntry)
-      : random_(seed), limits_(limits), troubles_(troubles), calls_(calls) {
+  FleetSimulation(uint32_t seed, size_t instances, RetryBudgetLimits limits,
+                  Faults faults,
+                  CallPattern pattern = CallPattern::kByRequestInstance)
+      : random_(seed), limits_(limits), faults_(faults), pattern_(pattern) {
     for (size_t i = 0; i < instances; ++i) Join(true);
   }
 
   void Run(milliseconds time) {
     const auto end = now_ + time;
     for (; now_ < end; now_ += kStep) {
-      DrawTroubles();
+      DrawFaults();
       std::ranges::for_each(fleet_, [this](Instance& i) { ReadList(i); });
       const int requests = Draw(2 * rate_ + 1);
       for (int i = 0; i < requests; ++i) Request();
-      Deliver();
+      RunScheduled();
     }
   }
 
-  size_t repeats() const { return repeats_.size(); }
+  size_t retries() const { return retries_.size(); }
 
-  /** @return repeats above what is allowed, in the worst window. */
+  /** @return retries above the allowed number in the worst window. */
   double Excess() {
     std::ranges::sort(sent_);
-    std::ranges::sort(repeats_);
+    std::ranges::sort(retries_);
     double excess = std::numeric_limits<double>::lowest();
-    // A window is worst where it begins with a repeat.
-    for (const Clock::time_point from : repeats_) {
-      const auto most =
+    // The worst window begins with a retry.
+    for (const Clock::time_point from : retries_) {
+      const auto requests =
           std::max({Count(sent_, from), Count(sent_, from - kWindow),
                     Count(sent_, from - kWindow / 2)});
       const double allowed =
-          limits_.ratio * static_cast<double>(most) + limits_.slack;
+          limits_.ratio * static_cast<double>(requests) + limits_.slack;
       excess = std::max(excess,
-                        static_cast<double>(Count(repeats_, from)) - allowed);
+                        static_cast<double>(Count(retries_, from)) - allowed);
     }
     return excess;
   }
 
  private:
-  using Times = std::vector<Clock::time_point>;
+  using TimePoints = std::vector<Clock::time_point>;
 
-  static std::ptrdiff_t Count(const Times& times, Clock::time_point from) {
-    return std::ranges::lower_bound(times, from + kWindow) -
-           std::ranges::lower_bound(times, from);
+  static std::ptrdiff_t Count(const TimePoints& time_points,
+                              Clock::time_point from) {
+    return std::ranges::lower_bound(time_points, from + kWindow) -
+           std::ranges::lower_bound(time_points, from);
   }
   int Draw(int below) {
     return static_cast<int>(random_() % static_cast<uint32_t>(below));
   }
-  bool Happens(int one_in) { return one_in > 0 && Draw(one_in) == 0; }
-  Instance& Any() {
+  bool Occurs(int one_in) { return one_in > 0 && Draw(one_in) == 0; }
+  Instance& AnyInstance() {
     return fleet_[static_cast<size_t>(Draw(static_cast<int>(fleet_.size())))];
   }
 
@@ -127,102 +133,104 @@
   void Kill(Instance& instance) {
     instance.budgets = RetryBudgets(limits_);
     ++instance.starts;
-    instance.away_till = now_ + (200 + Draw(800)) * 1ms;
-    instance.next_read = instance.away_till;
+    instance.down_until = now_ + (200 + Draw(800)) * 1ms;
+    instance.next_read = instance.down_until;
     instance.reads = 0;
   }
 
-  void DrawTroubles() {
-    if (Happens(troubles_.kill)) Kill(Any());
-    if (Happens(troubles_.kill_all)) {
+  void DrawFaults() {
+    if (Occurs(faults_.kill)) Kill(AnyInstance());
+    if (Occurs(faults_.kill_all)) {
       std::ranges::for_each(fleet_, [this](Instance& i) { Kill(i); });
     }
-    if (Happens(troubles_.cut)) Any().cut_till = now_ + Draw(40000) * 1ms;
-    if (Happens(troubles_.store_off)) {
-      store_off_till_ = now_ + Draw(20000) * 1ms;
+    if (Occurs(faults_.cut)) AnyInstance().cut_until = now_ + Draw(40000) * 1ms;
+    if (Occurs(faults_.store_outage)) {
+      store_outage_until_ = now_ + Draw(20000) * 1ms;
     }
-    if (Happens(troubles_.join)) Join(false);
-    if (Happens(troubles_.shift)) first_ = static_cast<size_t>(Draw(4));
-    if (Happens(troubles_.burst)) rate_ = Draw(3) * Draw(9);
-    if (Happens(troubles_.recover)) fails_ = !fails_;
+    if (Occurs(faults_.join)) Join(false);
+    if (Occurs(faults_.shift)) first_ = static_cast<size_t>(Draw(4));
+    if (Occurs(faults_.burst)) rate_ = Draw(3) * Draw(9);
+    if (Occurs(faults_.recover)) fails_ = !fails_;
   }
 
   void ReadList(Instance& instance) {
     if (now_ < instance.next_read) return;
     instance.next_read =
-        now_ + (++instance.reads <= kEarlyReads ? kEarlyRead : kLateRead);
-    if (now_ < instance.cut_till || now_ < store_off_till_) return;
-    const auto as_of = now_ - Draw(kStalestListMs) * 1ms;
+        now_ + (++instance.reads <= kEarlyReads ? kEarlyReadInterval
+                                                : kLateReadInterval);
+    if (now_ < instance.cut_until || now_ < store_outage_until_) return;
+    const auto as_of = now_ - Draw(kMaxListAgeMs) * 1ms;
     const auto listed = std::ranges::count_if(fleet_, [&](const Instance& i) {
       return i.entered && i.entered_at <= as_of;
     });
-    const bool stands = instance.entered && instance.entered_at <= as_of;
+    const bool is_listed = instance.entered && instance.entered_at <= as_of;
     if (!instance.entered) {
       instance.entered = true;
       instance.entered_at = now_;
     }
-    instance.budgets.NoteList(
-        {.instances = static_cast<int>(listed) + (stands ? 0 : 1),
-         .lists_this_one = stands},
+    instance.budgets.OnFleetList(
+        {.instances = static_cast<int>(listed) + (is_listed ? 0 : 1),
+         .lists_this_one = is_listed},
         now_);
   }
 
   void Request() {
     sent_.push_back(now_);
-    // Half of the fleet gets none until the traffic moves on.
+    // Half of the fleet receives no requests until the traffic moves.
     const size_t half = std::max<size_t>(1, fleet_.size() / 2);
     const size_t first = first_ * half / 2;
     const size_t at =
         (first + static_cast<size_t>(Draw(static_cast<int>(half)))) %
         fleet_.size();
-    Later(Draw(kLatestMs) * 1ms, [this, at] { Arrive(at); });
+    Schedule(Draw(kMaxLatencyMs) * 1ms, [this, at] { Arrive(at); });
   }
 
   void Arrive(size_t at) {
-    if (now_ < fleet_[at].away_till) return;
-    if (calls_ == Calls::kByOwner) return ArrivePiece(at);
+    if (now_ < fleet_[at].down_until) return;
+    if (pattern_ == CallPattern::kByOwner) return ArrivePiece(at);
     fleet_[at].budgets.OnRequest(kService, now_);
-    if (fails_) Repeat(at, fleet_[at].starts, 3);
+    if (fails_) Retry(at, fleet_[at].starts, 3);
   }
 
-  /** A piece earns half at the instance that has its request, half at its
-   * owner. Calls that fail are repeated by the owner; pieces that were there
-   * when it ends, and stages done again, by the instance with the request. */
+  /** A piece earns half its credit at the instance that has the request and
+   * half at the owner. The owner retries failed calls. The instance with the
+   * request retries pieces that the owner had when it ended, and restarted
+   * stages. */
   void ArrivePiece(size_t at) {
     const size_t owner = Owner();
-    fleet_[at].budgets.OnRequest(kService, now_, kPieceWeight);
-    fleet_[owner].budgets.OnRequest(kService, now_, kPieceWeight);
-    if (fails_) Repeat(owner, fleet_[owner].starts, 2);
+    fleet_[at].budgets.OnRequest(kService, now_, kPieceCreditWeight);
+    fleet_[owner].budgets.OnRequest(kService, now_, kPieceCreditWeight);
+    if (fails_) Retry(owner, fleet_[owner].starts, 2);
     const int start = fleet_[at].starts;
     const int owner_start = fleet_[owner].starts;
-    Later(Draw(2000) * 1ms, [this, at, start, owner, owner_start] {
+    Schedule(Draw(2000) * 1ms, [this, at, start, owner, owner_start] {
       const bool owner_ended = fleet_[owner].starts != owner_start;
-      if (owner_ended || fails_) Repeat(at, start, 1);
+      if (owner_ended || fails_) Retry(at, start, 1);
     });
   }
   size_t Owner() const {
-    const auto up = std::ranges::find_if(
-        fleet_, [this](const Instance& i) { return now_ >= i.away_till; });
-    return up == fleet_.end()
+    const auto running = std::ranges::find_if(
+        fleet_, [this](const Instance& i) { return now_ >= i.down_until; });
+    return running == fleet_.end()
                ? 0
-               : static_cast<size_t>(std::distance(fleet_.begin(), up));
+               : static_cast<size_t>(std::distance(fleet_.begin(), running));
   }
 
-  void Repeat(size_t at, int start, int left) {
+  void Retry(size_t at, int start, int left) {
     Instance& instance = fleet_[at];
     if (instance.starts != start || left == 0) return;
     if (!instance.budgets.TrySpend(kService, now_)) return;
-    const auto on_its_way = Draw(kLatestMs) * 1ms;
-    repeats_.push_back(now_ + on_its_way);
-    Later(on_its_way, [this, at, start, left] {
-      if (fails_) Repeat(at, start, left - 1);
+    const auto latency = Draw(kMaxLatencyMs) * 1ms;
+    retries_.push_back(now_ + latency);
+    Schedule(latency, [this, at, start, left] {
+      if (fails_) Retry(at, start, left - 1);
     });
   }
 
-  void Later(milliseconds pause, std::function<void()> action) {
-    pending_.emplace(now_ + pause, std::move(action));
+  void Schedule(milliseconds delay, std::function<void()> action) {
+    pending_.emplace(now_ + delay, std::move(action));
   }
-  void Deliver() {
+  void RunScheduled() {
     while (!pending_.empty() && pending_.begin()->first <= now_) {
       const auto action = std::move(pending_.begin()->second);
       pending_.erase(pending_.begin());
@@ -232,82 +240,89 @@
 
   std::mt19937 random_;
   RetryBudgetLimits limits_;
-  Troubles troubles_;
-  Calls calls_;
+  Faults faults_;
+  CallPattern pattern_;
   Clock::time_point now_{1h};
-  Clock::time_point store_off_till_;
+  Clock::time_point store_outage_until_;
   std::vector<Instance> fleet_;
   std::multimap<Clock::time_point, std::function<void()>> pending_;
-  Times sent_;
-  Times repeats_;
+  TimePoints sent_;
+  TimePoints retries_;
   int rate_ = 2;
   size_t first_ = 0;
   bool fails_ = true;
 };
 
-constexpr RetryBudgetLimits kSmallSite{
+constexpr RetryBudgetLimits kSmallFleetLimits{
     .ratio = 0.2, .slack = 54, .window = kWindow};
 
-/** @return the worst excess over some seeds. */
-double WorstExcess(size_t instances, RetryBudgetLimits limits,
-                   Troubles troubles) {
+/** @return the largest excess over 12 seeds. */
+double WorstExcess(size_t instances, RetryBudgetLimits limits, Faults faults) {
   double worst = std::numeric_limits<double>::lowest();
   for (uint32_t seed = 1; seed <= 12; ++seed) {
-    World world(seed, instances, limits, troubles);
-    world.Run(90s);
-    REQUIRE(world.repeats() > 0);
-    worst = std::max(worst, world.Excess());
+    FleetSimulation simulation(seed, instances, limits, faults);
+    simulation.Run(90s);
+    REQUIRE(simulation.retries() > 0);
+    worst = std::max(worst, simulation.Excess());
   }
   return worst;
 }
 
 }  // namespace
 
-// Guards against processes that each spend the whole share of an instance that
-// is killed and started again within one window.
-TEST_CASE("a fleet that is killed again and again keeps the retry budget") {
-  REQUIRE(WorstExcess(7, kSmallSite, {.kill_all = 150, .recover = 400}) <= 0);
-  REQUIRE(WorstExcess(7, kSmallSite, {.kill = 20}) <= 0);
-  REQUIRE(WorstExcess(60, kSmallSite, {.kill = 3, .kill_all = 300}) <= 0);
+// Guards against an exceeded budget when an instance is killed and restarted
+// several times within one window, and each process spends a whole share.
+TEST_CASE("a fleet whose instances restart often keeps the retry budget") {
+  REQUIRE(WorstExcess(7, kSmallFleetLimits,
+                      {.kill_all = 150, .recover = 400}) <= 0);
+  REQUIRE(WorstExcess(7, kSmallFleetLimits, {.kill = 20}) <= 0);
+  REQUIRE(WorstExcess(60, kSmallFleetLimits, {.kill = 3, .kill_all = 300}) <=
+          0);
 }
 
-// Guards against shares of the slack that are dealt by a list which lacks
-// instances: not read yet, stale, or before others have joined.
-TEST_CASE("a fleet that grows while it is cut off keeps the retry budget") {
-  REQUIRE(WorstExcess(3, kSmallSite, {.join = 60}) <= 0);
-  REQUIRE(WorstExcess(3, kSmallSite, {.cut = 40, .join = 60}) <= 0);
-  REQUIRE(WorstExcess(7, kSmallSite,
-                      {.kill = 60, .store_off = 900, .join = 90}) <= 0);
+// Guards against shares of the slack that are too large because they derive
+// from a list without some instances: not read yet, stale, or older than a
+// join.
+TEST_CASE(
+    "a fleet that grows during outages of its list keeps the retry budget") {
+  REQUIRE(WorstExcess(3, kSmallFleetLimits, {.join = 60}) <= 0);
+  REQUIRE(WorstExcess(3, kSmallFleetLimits, {.cut = 40, .join = 60}) <= 0);
+  REQUIRE(WorstExcess(7, kSmallFleetLimits,
+                      {.kill = 60, .store_outage = 900, .join = 90}) <= 0);
 }
 
-// Guards against instances that each spend what their own window allows, one
-// after the other, as the traffic goes from one to the next.
+// Guards against an exceeded budget when traffic moves from one instance to the
+// next and each in turn spends the allowance of its own window.
 TEST_CASE("traffic that moves between instances keeps the retry budget") {
-  REQUIRE(WorstExcess(8, kSmallSite, {.shift = 200, .recover = 400}) <= 0);
-  REQUIRE(WorstExcess(40, kSmallSite, {.shift = 400, .burst = 300}) <= 0);
+  REQUIRE(WorstExcess(8, kSmallFleetLimits, {.shift = 200, .recover = 400}) <=
+          0);
+  REQUIRE(WorstExcess(40, kSmallFleetLimits, {.shift = 400, .burst = 300}) <=
+          0);
 }
 
-// Guards against any of these together, whatever the bound and the fleet.
-TEST_CASE("all troubles together keep the retry budget") {
-  const Troubles all{.kill = 40,
-                     .kill_all = 500,
-                     .cut = 100,
-                     .store_off = 1500,
-                     .join = 300,
-                     .shift = 300,
-                     .burst = 400,
-                     .recover = 400};
+// Guards against combinations of these faults, for several bounds and fleet
+// sizes.
+TEST_CASE("all faults together keep the retry budget") {
+  const Faults all{.kill = 40,
+                   .kill_all = 500,
+                   .cut = 100,
+                   .store_outage = 1500,
+                   .join = 300,
+                   .shift = 300,
+                   .burst = 400,
+                   .recover = 400};
   for (const size_t instances : {1, 2, 7, 30, 100}) {
     for (const double slack : {0.0, 10.0, 54.0, 400.0}) {
       CAPTURE(instances, slack);
       const RetryBudgetLimits limits{
           .ratio = 0.2, .slack = slack, .window = kWindow};
-      for (const Calls calls : {Calls::kByEntry, Calls::kByOwner}) {
+      for (const CallPattern pattern :
+           {CallPattern::kByRequestInstance, CallPattern::kByOwner}) {
         double worst = std::numeric_limits<double>::lowest();
         for (uint32_t seed = 1; seed <= 6; ++seed) {
-          World world(seed, instances, limits, all, calls);
-          world.Run(90s);
-          worst = std::max(worst, world.Excess());
+          FleetSimulation simulation(seed, instances, limits, all, pattern);
+          simulation.Run(90s);
+          worst = std::max(worst, simulation.Excess());
         }
         REQUIRE(worst <= 0);
       }
@@ -315,11 +330,12 @@
   }
 }
 
-// Guards against a bound that is kept by never repeating anything.
-TEST_CASE("most of the retry budget is spent while everything fails") {
-  World world(1, 7, kSmallSite, {});
-  world.Run(90s);
-  // Two requests a step on average, and what the slack adds.
-  const double allowed_in_90_s = 0.2 * 2 * (90s / kStep) + kSmallSite.slack;
-  REQUIRE(static_cast<double>(world.repeats()) > 0.6 * allowed_in_90_s);
+// Guards against a bound that is kept only because nothing is retried.
+TEST_CASE("most of the retry budget is spent while all requests fail") {
+  FleetSimulation simulation(1, 7, kSmallFleetLimits, {});
+  simulation.Run(90s);
+  // Two requests per step on average, plus the slack.
+  const double allowed_in_90_s =
+      0.2 * 2 * (90s / kStep) + kSmallFleetLimits.slack;
+  REQUIRE(static_cast<double>(simulation.retries()) > 0.6 * allowed_in_90_s);
 }
--- a/libs/entry/test/retry_policy_test.cc
+++ b/libs/entry/test/retry_policy_test.cc
@@ -3,54 +3,58 @@
 #include <catch2/catch.hpp>
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
-using turmeric::entry::MayRepeat;
-using turmeric::entry::Repeat;
-using turmeric::entry::RepeatState;
-using turmeric::entry::SendEnd;
+using turmeric::entry::DecideRetry;
+using turmeric::entry::RetryDecision;
+using turmeric::entry::RetryState;
+using turmeric::entry::SendOutcome;
 
 namespace {
 
-RepeatState After(SendEnd end) {
-  return {.end = end,
-          .caller_waits = true,
-          .left = 1s,
-          .reached = 1,
+RetryState After(SendOutcome outcome) {
+  return {.outcome = outcome,
+          .connected = true,
+          .time_left = 1s,
+          .received_sends = 1,
           .max_sends = 1,
-          .tried = 1};
+          .tried_upstreams = 1};
 }
 
 }  // namespace
 
-// Story: several upstreams of a service crash at once. A request that finds no
-// connection at the first was counted as a repeat at the second; the budget
-// was soon used up, and callers were refused though upstreams had room.
-TEST_CASE("what no upstream received is tried at the next one for nothing") {
-  RepeatState state = After(SendEnd::kUnreached);
-  REQUIRE(MayRepeat(state) == Repeat::kFree);
-  state.tried = 6;
-  REQUIRE(MayRepeat(state) == Repeat::kNo);
+// Guards against a retry budget that is used up by connection failures: when
+// several upstreams of a service crash together, each request that cannot
+// connect to one and goes to the next would spend credit, and requests would be
+// refused although other upstreams have capacity.
+TEST_CASE("a request that no upstream received is retried at no cost") {
+  RetryState state = After(SendOutcome::kUnreached);
+  REQUIRE(DecideRetry(state) == RetryDecision::kFree);
+  state.tried_upstreams = 6;
+  REQUIRE(DecideRetry(state) == RetryDecision::kNo);
 }
 
-TEST_CASE("what did not run spends from the budget, whatever the route") {
-  REQUIRE(MayRepeat(After(SendEnd::kNotRun)) == Repeat::kFromBudget);
+TEST_CASE(
+    "a request that has not run is retried from the budget on any route") {
+  REQUIRE(DecideRetry(After(SendOutcome::kNotRun)) ==
+          RetryDecision::kFromBudget);
 }
 
-TEST_CASE("what may have run is sent as often as the route allows") {
-  RepeatState state = After(SendEnd::kMayHaveRun);
-  REQUIRE(MayRepeat(state) == Repeat::kNo);
+TEST_CASE("a request that may have run is sent as often as its route allows") {
+  RetryState state = After(SendOutcome::kMayHaveRun);
+  REQUIRE(DecideRetry(state) == RetryDecision::kNo);
   state.max_sends = 2;
-  REQUIRE(MayRepeat(state) == Repeat::kFromBudget);
+  REQUIRE(DecideRetry(state) == RetryDecision::kFromBudget);
 }
 
-TEST_CASE("nothing is sent again without time or a caller") {
-  for (const SendEnd end :
-       {SendEnd::kUnreached, SendEnd::kNotRun, SendEnd::kMayHaveRun}) {
-    RepeatState state = After(end);
+TEST_CASE("no retry without time left or after the caller disconnected") {
+  for (const SendOutcome outcome :
+       {SendOutcome::kUnreached, SendOutcome::kNotRun,
+        SendOutcome::kMayHaveRun}) {
+    RetryState state = After(outcome);
     state.max_sends = 3;
-    state.left = 40ms;
-    REQUIRE(MayRepeat(state) == Repeat::kNo);
-    state.left = 1s;
-    state.caller_waits = false;
-    REQUIRE(MayRepeat(state) == Repeat::kNo);
+    state.time_left = 40ms;
+    REQUIRE(DecideRetry(state) == RetryDecision::kNo);
+    state.time_left = 1s;
+    state.connected = false;
+    REQUIRE(DecideRetry(state) == RetryDecision::kNo);
   }
 }
--- a/libs/peer/src/frame.cc
+++ b/libs/peer/src/frame.cc
@@ -226,7 +226,7 @@
 
 Offset<wire::Crash> Write(FlatBufferBuilder& b, const quarantine::Crash& crash,
                           Clock::time_point now) {
-  return wire::CreateCrash(b, b.CreateSharedString(crash.work),
+  return wire::CreateCrash(b, b.CreateSharedString(crash.fingerprint),
                            b.CreateSharedString(crash.service),
                            b.CreateSharedString(crash.upstream),
                            RelativeMs(now, crash.at), crash.progressed);
@@ -235,7 +235,7 @@
 Offset<wire::GoodRun> Write(FlatBufferBuilder& b,
                             const quarantine::GoodRun& run,
                             Clock::time_point now) {
-  return wire::CreateGoodRun(b, b.CreateSharedString(run.work),
+  return wire::CreateGoodRun(b, b.CreateSharedString(run.fingerprint),
                              b.CreateSharedString(run.service),
                              RelativeMs(now, run.at));
 }
@@ -245,7 +245,7 @@
   if (f.crashes() != nullptr) {
     std::ranges::transform(
         *f.crashes(), std::back_inserter(frame.crashes), [now](const auto* c) {
-          return quarantine::Crash{.work = Text(c->work()),
+          return quarantine::Crash{.fingerprint = Text(c->work()),
                                    .service = Text(c->service()),
                                    .upstream = Text(c->upstream()),
                                    .at = TimeOf(c->age_ms(), now),
@@ -256,7 +256,7 @@
     std::ranges::transform(*f.good_runs(), std::back_inserter(frame.good_runs),
                            [now](const auto* r) {
                              return quarantine::GoodRun{
-                                 .work = Text(r->work()),
+                                 .fingerprint = Text(r->work()),
                                  .service = Text(r->service()),
                                  .at = TimeOf(r->age_ms(), now)};
                            });
--- a/libs/peer/test/frame_test.cc
+++ b/libs/peer/test/frame_test.cc
@@ -74,12 +74,12 @@
                                               .revision = 22,
                                               .deleted = true}},
                                  .held_before = 1ULL << 63});
-  frame.crashes = {{.work = "f00d",
+  frame.crashes = {{.fingerprint = "f00d",
                     .service = "llm",
                     .upstream = "i-5@9",
                     .at = now - 1500ms,
                     .progressed = true}};
-  frame.good_runs = {{.work = "cafe", .service = "app", .at = now - 2s}};
+  frame.good_runs = {{.fingerprint = "cafe", .service = "app", .at = now - 2s}};
   return frame;
 }
 
@@ -161,13 +161,13 @@
   REQUIRE(frame->pieces[0].piece.work == "f00d");
   REQUIRE(frame->pieces[0].piece.repeated);
   REQUIRE(frame->crashes.size() == 1);
-  REQUIRE(frame->crashes[0].work == "f00d");
+  REQUIRE(frame->crashes[0].fingerprint == "f00d");
   REQUIRE(frame->crashes[0].service == "llm");
   REQUIRE(frame->crashes[0].upstream == "i-5@9");
   REQUIRE(frame->crashes[0].at == later - 1500ms);
   REQUIRE(frame->crashes[0].progressed);
   REQUIRE(frame->good_runs.size() == 1);
-  REQUIRE(frame->good_runs[0].work == "cafe");
+  REQUIRE(frame->good_runs[0].fingerprint == "cafe");
   REQUIRE(frame->good_runs[0].service == "app");
   REQUIRE(frame->good_runs[0].at == later - 2s);
 }
--- a/libs/quarantine/include/turmeric/quarantine/crash.h
+++ b/libs/quarantine/include/turmeric/quarantine/crash.h
@@ -5,23 +5,24 @@
 
 namespace turmeric::quarantine {
 
-/** The clock that crashes are dated by. */
+/** Clock of the crash times. */
 using Clock = std::chrono::steady_clock;
 
-/** One upstream process that ended while it had a request. */
+/** The end of an upstream process while it had a request in flight. */
 struct Crash {
-  std::string work;      ///< Fingerprint of the request.
-  std::string service;   ///< The upstream's.
-  std::string upstream;  ///< One start of one process.
+  std::string fingerprint;  ///< Of the request.
+  std::string service;      ///< Service of the upstream.
+  std::string upstream;     ///< Identifies one start of the process.
   Clock::time_point at;
-  /** Part of the answer had come: the request had run there for a while. */
+  /** True if part of the answer had been received, so that the request had run
+   * for a while. */
   bool progressed = false;
 };
 
-/** A request that an upstream ran to its end. */
+/** The complete run of a request on an upstream. */
 struct GoodRun {
-  std::string work;
-  std::string service;
+  std::string fingerprint;  ///< Of the request.
+  std::string service;      ///< Service of the upstream.
   Clock::time_point at;
 };
 
--- a/libs/quarantine/include/turmeric/quarantine/crash_ledger.h
+++ b/libs/quarantine/include/turmeric/quarantine/crash_ledger.h
@@ -14,71 +14,78 @@
 namespace turmeric::quarantine {
 
 /**
- * Upstreams that ended under each request, wherever in the fleet that was seen.
- * A request under which several ended, and which none of their service has run
- * to its end since, is held to be the cause and is quarantined: its copies are
- * refused. One that only ran beside it is acquitted by its next good run.
+ * Records, by request fingerprint, the upstreams that crashed while they had
+ * the request, as seen by any instance of the fleet. If several crashed and no
+ * upstream of their service has completed the request since, the request is
+ * taken for the cause and quarantined: its copies are refused. A request that
+ * only ran beside the cause is cleared by its next complete run.
  *
- * What two ledgers know can be merged in any order, once or more often, with
- * the same result. Time is passed in.
+ * Records can be merged from other ledgers in any order and repeatedly, with
+ * the same result. The current time is passed in.
  */
 class CrashLedger {
  public:
-  /** @param crash seen here or told by another instance.
-   * @return true if it was not known and counts. */
-  bool Note(const Crash& crash);
-  /** @param run seen here or told by another instance.
-   * @return true if it acquits its work of a crash. */
-  bool Note(const GoodRun& run);
+  /** @param crash seen by this instance or received from another one.
+   * @return true if it is new and not older than the last complete run. */
+  bool Record(const Crash& crash);
+  /** @param run seen by this instance or received from another one.
+   * @return true if it clears the request of a crash. */
+  bool Record(const GoodRun& run);
 
-  /** @param work a fingerprint. @return upstreams that ended under it and that
-   * it is not acquitted of. */
-  int crashes(std::string_view work) const;
-  /** @param work a fingerprint. @return true if an upstream ended as it began
-   * to run it, or two while it ran: it is to be run apart from other work under
-   * the same suspicion, so that these and the cause part. */
-  bool IsSuspect(std::string_view work) const;
+  /** @param fingerprint of a request. @return number of crashes that it has not
+   * been cleared of. */
+  int crash_count(std::string_view fingerprint) const;
+  /** @param fingerprint of a request. @return true if one upstream crashed at
+   * the start of its run, or two after progress. Suspect requests run on
+   * different upstreams, which separates the cause from the others. */
+  bool IsSuspect(std::string_view fingerprint) const;
   /**
-   * @param work a fingerprint. @param now the time.
-   * @return how long its copies are still to be refused; nullopt: they are not.
+   * @param fingerprint of a request. @param now current time.
+   * @return time for which its copies are still refused; nullopt if it is not
+   *     quarantined.
    */
-  std::optional<std::chrono::milliseconds> QuarantinedFor(
-      std::string_view work, Clock::time_point now) const;
+  std::optional<std::chrono::milliseconds> RemainingQuarantine(
+      std::string_view fingerprint, Clock::time_point now) const;
 
-  /** @return the crashes that count, for an instance that knows none. */
-  std::vector<Crash> Crashes() const;
-  /** @param work a fingerprint. @return the crashes that count against it. */
-  std::vector<Crash> CrashesUnder(std::string_view work) const;
-  /** @param now the time. @return works in quarantine. */
-  size_t quarantined(Clock::time_point now) const;
-  /** Forgets what is too old to count. @param now the time. */
+  /** @return all crashes that their requests have not been cleared of. */
+  std::vector<Crash> AllCrashes() const;
+  /** @param fingerprint of a request. @return the crashes that it has not been
+   * cleared of. */
+  std::vector<Crash> CrashesOf(std::string_view fingerprint) const;
+  /** @param now current time. @return number of quarantined requests. */
+  size_t quarantined_count(Clock::time_point now) const;
+  /** Drops records that have lapsed. @param now current time. */
   void Expire(Clock::time_point now);
-  /** @return works with a crash. */
-  size_t size() const { return works_.size(); }
+  /** @return number of requests with a recorded crash. */
+  size_t size() const { return records_.size(); }
 
  private:
-  struct Work {
+  struct RequestRecord {
     std::map<std::string, Crash> crashes;                ///< By upstream.
     std::map<std::string, Clock::time_point> good_runs;  ///< By service.
 
+    /** @return true if the request has not completed since the crash. */
     bool Counts(const Crash& crash) const;
-    int weight() const;
-    /** @return true if the crashes that count may be those of one outage. */
-    bool AllAtOneMoment() const;
-    std::optional<Clock::time_point> QuarantinedTill() const;
-    Clock::time_point last() const;
+    /** @return sum of the weights of the crashes that count. */
+    int total_weight() const;
+    /** @return true if one outage may have caused all crashes that count. */
+    bool AreSimultaneous() const;
+    std::optional<Clock::time_point> QuarantinedUntil() const;
+    /** @return time of the last crash. */
+    Clock::time_point last_crash_at() const;
   };
-  struct TextHash {
+  struct StringHash {
     using is_transparent = void;
     size_t operator()(std::string_view text) const {
       return std::hash<std::string_view>()(text);
     }
   };
 
-  const Work* Find(std::string_view work) const;
-  void MakeRoom();
+  const RequestRecord* Find(std::string_view fingerprint) const;
+  void EvictOldestIfFull();
 
-  std::unordered_map<std::string, Work, TextHash, std::equal_to<>> works_;
+  std::unordered_map<std::string, RequestRecord, StringHash, std::equal_to<>>
+      records_;
 };
 
 }  // namespace turmeric::quarantine
--- a/libs/quarantine/include/turmeric/quarantine/fingerprint.h
+++ b/libs/quarantine/include/turmeric/quarantine/fingerprint.h
@@ -5,8 +5,8 @@
 
 namespace turmeric::quarantine {
 
-/** What two attempts of one request have in common. Fields that name an attempt
- * or its deadline differ each time it comes, and are no part of it. */
+/** The content that is equal in all attempts of a request. Excludes header
+ * fields that differ between attempts, such as attempt id and deadline. */
 struct RequestContent {
   std::string_view caller;  ///< The organisation, or the key if there is none.
   std::string_view method;
@@ -16,7 +16,7 @@
 };
 
 /**
- * @param content what was asked for.
+ * @param content content of a request.
  * @return 16 hexadecimal digits, equal for equal content.
  */
 std::string Fingerprint(const RequestContent& content);
--- a/libs/quarantine/include/turmeric/quarantine/stored_crashes.h
+++ b/libs/quarantine/include/turmeric/quarantine/stored_crashes.h
@@ -11,31 +11,33 @@
 
 namespace turmeric::quarantine {
 
-/** One moment by both clocks: the steady one means nothing to other processes.
- */
-struct Moment {
+/** Readings of both clocks at the same time. Other processes cannot interpret
+ * the steady clock. */
+struct ClockReading {
   Clock::time_point steady;
   std::chrono::system_clock::time_point wall;
 
-  /** @return now. */
-  static Moment Now() {
+  /** @return the current readings. */
+  static ClockReading Now() {
     return {Clock::now(), std::chrono::system_clock::now()};
   }
 };
 
 /**
- * @param crashes under one work. @param now the time.
- * @return the object that keeps them in the platform's store.
+ * @param crashes of one request. @param now current time.
+ * @return content of the object that holds them in the platform's store.
  */
-QJsonObject EncodeCrashes(std::span<const Crash> crashes, const Moment& now);
+QJsonObject EncodeCrashes(std::span<const Crash> crashes,
+                          const ClockReading& now);
 
 /**
- * @param work the object's name. @param spec its content. @param now the time;
- *     a crash of later than now is dated now.
- * @return the crashes that can be read; nullopt if it is no such object.
+ * @param fingerprint of the request, the name of the object.
+ * @param spec content of the object.
+ * @param now current time; a crash with a later time gets the current time.
+ * @return the readable crashes; nullopt if the object holds no list of them.
  */
-std::optional<std::vector<Crash>> DecodeCrashes(const std::string& work,
+std::optional<std::vector<Crash>> DecodeCrashes(const std::string& fingerprint,
                                                 const QJsonObject& spec,
-                                                const Moment& now);
+                                                const ClockReading& now);
 
 }  // namespace turmeric::quarantine
--- a/libs/quarantine/src/crash_ledger.cc
+++ b/libs/quarantine/src/crash_ledger.cc
@@ -9,50 +9,53 @@
 
 namespace {
 
-/** Weights of a crash. A request that had run for a while when its upstream
- * ended is less likely to be the cause than one that had just begun. */
-constexpr int kAtTheBeginning = 2;
-constexpr int kAfterProgress = 1;
-/** Weight from which a request is held to be the cause: three upstreams that
- * ended as they began to run it. */
-constexpr int kCauseWeight = 3 * kAtTheBeginning;
-/** Upstreams that end within a moment may have lost power together; copies of a
- * request that ends them do so at moments of their own. The pause is long
- * enough for them to be back, and the next copy tells which it was. */
-constexpr milliseconds kOneMoment{100};
-constexpr milliseconds kOutagePause{3000};
-/** Weight from which it is kept apart from others. */
-constexpr int kSuspectWeight = kAtTheBeginning;
-/** A first quarantine, doubled by each further crash after it: callers learn
- * whether what has been mended since runs, and little breaks if it does not. */
+/** Weights of a crash before and after the first part of the answer. A request
+ * that had run for a while is less likely to be the cause than one that had
+ * just begun. */
+constexpr int kEarlyCrashWeight = 2;
+constexpr int kLateCrashWeight = 1;
+/** Weight from which a request is quarantined: three upstreams crashed at the
+ * start of its run. */
+constexpr int kQuarantineWeight = 3 * kEarlyCrashWeight;
+/** Upstreams that crash within this window may have lost power together,
+ * whereas copies of a request that crashes them do so at different times. The
+ * short quarantine lasts until the upstreams have restarted; the next copy then
+ * shows whether the request is the cause. */
+constexpr milliseconds kOutageWindow{100};
+constexpr milliseconds kOutageQuarantine{3000};
+/** Weight from which a request is suspect. */
+constexpr int kSuspectWeight = kEarlyCrashWeight;
+/** Duration of the first quarantine; each further early crash (or two late
+ * ones) doubles it. Once it expires, a copy is admitted: it completes if the
+ * fault has been fixed, and crashes few upstreams if not. */
 constexpr milliseconds kFirstQuarantine = std::chrono::minutes(10);
-constexpr milliseconds kLongestQuarantine = std::chrono::hours(24);
-/** A crash counts for so long after the last one under the same work, or after
- * its quarantine. */
-constexpr milliseconds kRemembered = std::chrono::minutes(10);
-/** Works kept; beyond, those with the oldest crash go. */
-constexpr size_t kMostWorks = 4096;
-/** Crashes kept under one work; more would change nothing but its length. */
-constexpr size_t kMostCrashes = 32;
+constexpr milliseconds kMaxQuarantine = std::chrono::hours(24);
+/** Time for which crashes are kept after the last crash under the same request,
+ * or after the end of its quarantine. */
+constexpr milliseconds kCrashRetention = std::chrono::minutes(10);
+/** Beyond this number of requests, those with the oldest crash are evicted. */
+constexpr size_t kMaxRequests = 4096;
+/** Crashes kept per request; more would only lengthen its quarantine. */
+constexpr size_t kMaxCrashesPerRequest = 32;
 
 int WeightOf(const Crash& crash) {
-  return crash.progressed ? kAfterProgress : kAtTheBeginning;
+  return crash.progressed ? kLateCrashWeight : kEarlyCrashWeight;
 }
 
 }  // namespace
 
-bool CrashLedger::Work::Counts(const Crash& crash) const {
+bool CrashLedger::RequestRecord::Counts(const Crash& crash) const {
   const auto run = good_runs.find(crash.service);
   return run == good_runs.end() || crash.at > run->second;
 }
 
-Clock::time_point CrashLedger::Work::last() const {
+Clock::time_point CrashLedger::RequestRecord::last_crash_at() const {
   Clock::time_point last{};
   for (const auto& [upstream, crash] : crashes) last = std::max(last, crash.at);
   return last;
 }
 
-int CrashLedger::Work::weight() const {
+int CrashLedger::RequestRecord::total_weight() const {
   int weight = 0;
   for (const auto& [upstream, crash] : crashes) {
     if (Counts(crash)) weight += WeightOf(crash);
@@ -60,7 +63,7 @@
   return weight;
 }
 
-bool CrashLedger::Work::AllAtOneMoment() const {
+bool CrashLedger::RequestRecord::AreSimultaneous() const {
   auto first = Clock::time_point::max();
   Clock::time_point last{};
   for (const auto& [upstream, crash] : crashes) {
@@ -68,73 +71,74 @@
     first = std::min(first, crash.at);
     last = std::max(last, crash.at);
   }
-  return last - first <= kOneMoment;
+  return last - first <= kOutageWindow;
 }
 
-std::optional<Clock::time_point> CrashLedger::Work::QuarantinedTill() const {
-  const int held_against = weight();
-  if (held_against < kCauseWeight) return std::nullopt;
-  // Guard: an outage ends many upstreams at one moment, and popular requests
-  // run on most of them. Held to be the cause for minutes, they would be
-  // refused while no copy may run to acquit them.
-  if (AllAtOneMoment()) return last() + kOutagePause;
+std::optional<Clock::time_point> CrashLedger::RequestRecord::QuarantinedUntil()
+    const {
+  const int weight = total_weight();
+  if (weight < kQuarantineWeight) return std::nullopt;
+  // Guard: an outage ends many upstreams at once, and frequent requests run on
+  // most of them. With a long quarantine they would be refused for minutes, as
+  // no copy could run to clear them.
+  if (AreSimultaneous()) return last_crash_at() + kOutageQuarantine;
   milliseconds length = kFirstQuarantine;
-  for (int more = kCauseWeight + kAtTheBeginning;
-       more <= held_against && length < kLongestQuarantine;
-       more += kAtTheBeginning) {
+  for (int more = kQuarantineWeight + kEarlyCrashWeight;
+       more <= weight && length < kMaxQuarantine; more += kEarlyCrashWeight) {
     length *= 2;
   }
-  return last() + std::min(length, kLongestQuarantine);
+  return last_crash_at() + std::min(length, kMaxQuarantine);
 }
 
-const CrashLedger::Work* CrashLedger::Find(std::string_view work) const {
-  const auto it = works_.find(work);
-  return it == works_.end() ? nullptr : &it->second;
+const CrashLedger::RequestRecord* CrashLedger::Find(
+    std::string_view fingerprint) const {
+  const auto it = records_.find(fingerprint);
+  return it == records_.end() ? nullptr : &it->second;
 }
 
-bool CrashLedger::Note(const Crash& crash) {
-  if (!works_.contains(crash.work)) MakeRoom();
-  Work& work = works_[crash.work];
-  if (work.crashes.size() >= kMostCrashes) return false;
-  const auto [it, is_new] = work.crashes.emplace(crash.upstream, crash);
-  return is_new && work.Counts(it->second);
+bool CrashLedger::Record(const Crash& crash) {
+  if (!records_.contains(crash.fingerprint)) EvictOldestIfFull();
+  RequestRecord& record = records_[crash.fingerprint];
+  if (record.crashes.size() >= kMaxCrashesPerRequest) return false;
+  const auto [it, is_new] = record.crashes.emplace(crash.upstream, crash);
+  return is_new && record.Counts(it->second);
 }
 
-bool CrashLedger::Note(const GoodRun& run) {
-  const auto it = works_.find(run.work);
-  if (it == works_.end()) return false;
-  Work& work = it->second;
+bool CrashLedger::Record(const GoodRun& run) {
+  const auto it = records_.find(run.fingerprint);
+  if (it == records_.end()) return false;
+  RequestRecord& record = it->second;
   const bool counted_before =
-      std::ranges::any_of(work.crashes, [&](const auto& entry) {
+      std::ranges::any_of(record.crashes, [&](const auto& entry) {
         const Crash& c = entry.second;
-        return c.service == run.service && work.Counts(c) && c.at <= run.at;
+        return c.service == run.service && record.Counts(c) && c.at <= run.at;
       });
-  auto& at = work.good_runs[run.service];
+  auto& at = record.good_runs[run.service];
   at = std::max(at, run.at);
   return counted_before;
 }
 
-int CrashLedger::crashes(std::string_view work) const {
-  return static_cast<int>(CrashesUnder(work).size());
+int CrashLedger::crash_count(std::string_view fingerprint) const {
+  return static_cast<int>(CrashesOf(fingerprint).size());
 }
 
-bool CrashLedger::IsSuspect(std::string_view work) const {
-  const Work* found = Find(work);
-  return found != nullptr && found->weight() >= kSuspectWeight;
+bool CrashLedger::IsSuspect(std::string_view fingerprint) const {
+  const RequestRecord* found = Find(fingerprint);
+  return found != nullptr && found->total_weight() >= kSuspectWeight;
 }
 
-std::optional<milliseconds> CrashLedger::QuarantinedFor(
-    std::string_view work, Clock::time_point now) const {
-  const Work* found = Find(work);
+std::optional<milliseconds> CrashLedger::RemainingQuarantine(
+    std::string_view fingerprint, Clock::time_point now) const {
+  const RequestRecord* found = Find(fingerprint);
   if (found == nullptr) return std::nullopt;
-  const auto till = found->QuarantinedTill();
-  if (!till || *till <= now) return std::nullopt;
-  return std::chrono::ceil<milliseconds>(*till - now);
+  const auto until = found->QuarantinedUntil();
+  if (!until || *until <= now) return std::nullopt;
+  return std::chrono::ceil<milliseconds>(*until - now);
 }
 
-std::vector<Crash> CrashLedger::CrashesUnder(std::string_view work) const {
+std::vector<Crash> CrashLedger::CrashesOf(std::string_view fingerprint) const {
   std::vector<Crash> crashes;
-  const Work* found = Find(work);
+  const RequestRecord* found = Find(fingerprint);
   if (found == nullptr) return crashes;
   for (const auto& [upstream, crash] : found->crashes) {
     if (found->Counts(crash)) crashes.push_back(crash);
@@ -142,33 +146,35 @@
   return crashes;
 }
 
-std::vector<Crash> CrashLedger::Crashes() const {
+std::vector<Crash> CrashLedger::AllCrashes() const {
   std::vector<Crash> all;
-  for (const auto& [name, work] : works_) {
-    std::ranges::move(CrashesUnder(name), std::back_inserter(all));
+  for (const auto& [fingerprint, record] : records_) {
+    std::ranges::move(CrashesOf(fingerprint), std::back_inserter(all));
   }
   return all;
 }
 
-size_t CrashLedger::quarantined(Clock::time_point now) const {
+size_t CrashLedger::quarantined_count(Clock::time_point now) const {
   return static_cast<size_t>(
-      std::ranges::count_if(works_, [&](const auto& entry) {
-        return QuarantinedFor(entry.first, now).has_value();
+      std::ranges::count_if(records_, [&](const auto& entry) {
+        return RemainingQuarantine(entry.first, now).has_value();
       }));
 }
 
 void CrashLedger::Expire(Clock::time_point now) {
-  std::erase_if(works_, [now](const auto& entry) {
-    const Work& work = entry.second;
-    const auto till = work.QuarantinedTill().value_or(work.last());
-    return till + kRemembered <= now;
+  std::erase_if(records_, [now](const auto& entry) {
+    const RequestRecord& record = entry.second;
+    const auto until =
+        record.QuarantinedUntil().value_or(record.last_crash_at());
+    return until + kCrashRetention <= now;
   });
 }
 
-void CrashLedger::MakeRoom() {
-  if (works_.size() < kMostWorks) return;
-  works_.erase(std::ranges::min_element(
-      works_, {}, [](const auto& entry) { return entry.second.last(); }));
+void CrashLedger::EvictOldestIfFull() {
+  if (records_.size() < kMaxRequests) return;
+  records_.erase(std::ranges::min_element(records_, {}, [](const auto& entry) {
+    return entry.second.last_crash_at();
+  }));
 }
 
 }  // namespace turmeric::quarantine
--- a/libs/quarantine/src/fingerprint.cc
+++ b/libs/quarantine/src/fingerprint.cc
@@ -13,7 +13,8 @@
 
 using HashState = std::unique_ptr<XXH3_state_t, decltype(&XXH3_freeState)>;
 
-/** The length goes first, so that no text can run into the next one. */
+/** Hashes the length before the text, so that equal concatenations of different
+ * texts do not collide. */
 void Add(XXH3_state_t* state, std::string_view text) {
   const uint64_t size = text.size();
   XXH3_64bits_update(state, &size, sizeof(size));
--- a/libs/quarantine/src/stored_crashes.cc
+++ b/libs/quarantine/src/stored_crashes.cc
@@ -15,13 +15,13 @@
 constexpr auto kAt = "at_unix_ms";
 constexpr auto kProgressed = "progressed";
 
-int64_t UnixMs(Clock::time_point at, const Moment& now) {
+int64_t UnixMs(Clock::time_point at, const ClockReading& now) {
   const auto wall = now.wall - (now.steady - at);
   return std::chrono::duration_cast<milliseconds>(wall.time_since_epoch())
       .count();
 }
 
-Clock::time_point SteadyTime(int64_t unix_ms, const Moment& now) {
+Clock::time_point SteadyTime(int64_t unix_ms, const ClockReading& now) {
   const auto now_ms =
       std::chrono::duration_cast<milliseconds>(now.wall.time_since_epoch());
   const auto age = std::max(milliseconds(0), now_ms - milliseconds(unix_ms));
@@ -30,7 +30,8 @@
 
 }  // namespace
 
-QJsonObject EncodeCrashes(std::span<const Crash> crashes, const Moment& now) {
+QJsonObject EncodeCrashes(std::span<const Crash> crashes,
+                          const ClockReading& now) {
   QJsonArray list;
   for (const Crash& crash : crashes) {
     list.append(QJsonObject{{kService, QString::fromStdString(crash.service)},
@@ -41,13 +42,13 @@
   return {{kCrashes, list}};
 }
 
-std::optional<std::vector<Crash>> DecodeCrashes(const std::string& work,
+std::optional<std::vector<Crash>> DecodeCrashes(const std::string& fingerprint,
                                                 const QJsonObject& spec,
-                                                const Moment& now) {
-  if (work.empty() || !spec[kCrashes].isArray()) return std::nullopt;
+                                                const ClockReading& now) {
+  if (fingerprint.empty() || !spec[kCrashes].isArray()) return std::nullopt;
   std::vector<Crash> crashes;
   for (const QJsonValue item : spec[kCrashes].toArray()) {
-    Crash crash{.work = work,
+    Crash crash{.fingerprint = fingerprint,
                 .service = item[kService].toString().toStdString(),
                 .upstream = item[kUpstream].toString().toStdString(),
                 .at = SteadyTime(item[kAt].toInteger(), now),
--- a/libs/quarantine/test/fingerprint_test.cc
+++ b/libs/quarantine/test/fingerprint_test.cc
@@ -15,7 +15,7 @@
 
 }  // namespace
 
-TEST_CASE("equal content has one fingerprint") {
+TEST_CASE("equal content has equal fingerprints") {
   REQUIRE(Fingerprint(kContent) == Fingerprint(kContent));
   REQUIRE(Fingerprint(kContent).size() == 16);
 }
@@ -33,7 +33,7 @@
   REQUIRE(changed([](RequestContent& c) { c.body = ""; }));
 }
 
-TEST_CASE("text that moves from one part to the next is other content") {
+TEST_CASE("text moved from one part to the next changes the fingerprint") {
   RequestContent content = kContent;
   content.target = "/notes/1t";
   content.body = "ext";
--- a/libs/quarantine/test/stored_crashes_test.cc
+++ b/libs/quarantine/test/stored_crashes_test.cc
@@ -6,18 +6,18 @@
 
 using namespace std::chrono_literals;  // NOLINT(google-build-using-namespace)
 using turmeric::quarantine::Clock;
+using turmeric::quarantine::ClockReading;
 using turmeric::quarantine::Crash;
 using turmeric::quarantine::DecodeCrashes;
 using turmeric::quarantine::EncodeCrashes;
-using turmeric::quarantine::Moment;
 
 namespace {
 
-const Moment kNow{Clock::time_point(1h),
-                  std::chrono::system_clock::time_point(20000h)};
+const ClockReading kNow{Clock::time_point(1h),
+                        std::chrono::system_clock::time_point(20000h)};
 
 Crash CrashAt(Clock::time_point at) {
-  return {.work = "w",
+  return {.fingerprint = "w",
           .service = "llm",
           .upstream = "i-1",
           .at = at,
@@ -26,30 +26,32 @@
 
 }  // namespace
 
-// Guards against crashes that look new to a process with another steady clock.
+// Guards against crashes that appear new to a process whose steady clock has
+// another origin.
 TEST_CASE("stored crashes keep their age in another process") {
   const std::vector<Crash> crashes{CrashAt(kNow.steady - 5s)};
-  const Moment later{Clock::time_point(3s), kNow.wall + 60s};
+  const ClockReading later{Clock::time_point(3s), kNow.wall + 60s};
   const auto read = DecodeCrashes("w", EncodeCrashes(crashes, kNow), later);
   REQUIRE(read);
   REQUIRE(read->size() == 1);
-  REQUIRE(read->front().work == "w");
+  REQUIRE(read->front().fingerprint == "w");
   REQUIRE(read->front().service == "llm");
   REQUIRE(read->front().upstream == "i-1");
   REQUIRE(read->front().progressed);
   REQUIRE(read->front().at == later.steady - 65s);
 }
 
-// Guards against a quarantine that is longer by the difference of two clocks.
-TEST_CASE("a crash of the future is dated now") {
+// Guards against a quarantine that is too long because the wall clock of the
+// writer is ahead of the clock of the reader.
+TEST_CASE("a crash with a future time gets the current time") {
   const std::vector<Crash> crashes{CrashAt(kNow.steady)};
-  const Moment behind{Clock::time_point(3s), kNow.wall - 60s};
+  const ClockReading behind{Clock::time_point(3s), kNow.wall - 60s};
   const auto read = DecodeCrashes("w", EncodeCrashes(crashes, kNow), behind);
   REQUIRE(read->at(0).at == behind.steady);
 }
 
-// Guards against an object that another writer has spoiled.
-TEST_CASE("what is no crash is left out") {
+// Guards against failures by an object with invalid content.
+TEST_CASE("invalid crashes are left out") {
   REQUIRE_FALSE(DecodeCrashes("w", {}, kNow));
   REQUIRE_FALSE(DecodeCrashes("w", {{"crashes", 3}}, kNow));
   REQUIRE_FALSE(DecodeCrashes("", {{"crashes", QJsonArray()}}, kNow));
