--- a/libs/entry/include/turmeric/entry/entry_context.h
+++ b/libs/entry/include/turmeric/entry/entry_context.h
@@ -23,7 +23,7 @@
 class ConfigCheck;
 class EnginePlacer;
 class EntryMetrics;
-class WorkQuarantine;
+class RequestQuarantine;
 
 /** State of one instance that is shared by its requests. */
 struct EntryContext {
@@ -92,7 +92,7 @@
   ConfigCheck* config_check = nullptr;
   StageClient* stages = nullptr;
   EnginePlacer* placer = nullptr;
-  WorkQuarantine* quarantine = nullptr;
+  RequestQuarantine* quarantine = nullptr;
   EntryMetrics* metrics = nullptr;
 };
 
--- a/libs/entry/src/entry_service.cc
+++ b/libs/entry/src/entry_service.cc
@@ -52,7 +52,7 @@
     : link_(WithCountedCalls(std::move(link), metrics_)),
       context_(std::move(settings), link_.wire),
       links_(std::make_unique<InstanceLinks>(context_)),
-      quarantine_(std::make_unique<WorkQuarantine>(context_, *links_)),
+      quarantine_(std::make_unique<RequestQuarantine>(context_, *links_)),
       dispatcher_(std::make_unique<StageDispatcher>(context_)),
       router_(std::make_unique<StageRouter>(context_, *links_, *dispatcher_)),
       desk_(std::make_unique<PlacementCoordinator>(context_)),
@@ -106,9 +106,11 @@
              sharing_->OnLost(name);
            },
        .on_connect =
-           [this](peer::Frame& frame) { quarantine_->Introduce(frame); }});
+           [this](peer::Frame& frame) {
+             quarantine_->AddKnownCrashes(frame);
+           }});
   host_->set_on_new_peer(
-      [this](peer::Frame& frame) { quarantine_->Introduce(frame); });
+      [this](peer::Frame& frame) { quarantine_->AddKnownCrashes(frame); });
   host_->set_on_frame(
       [this](const std::string& identity, const peer::Frame& frame) {
         quarantine_->OnFrame(identity, frame);
@@ -154,7 +156,7 @@
 utils::Result<void> EntryService::StartPeers() {
   const config::EntrySettings& s = context_.settings;
   if (s.peer_address.empty()) {
-    context_.retries.SetAlone();
+    context_.retries.SetSingleInstance();
     context_.cold.set_other_instances({});
     return boost::outcome_v2::success();
   }
@@ -250,7 +252,7 @@
       .Add("open_requests", open_requests())
       .Add("connections", callers_.size());
   const auto last_answers = context_.stop()->last_answers;
-  ForEachRun([=](RequestRun& run) { run.OnStopBegins(last_answers); });
+  ForEachRun([=](RequestRun& run) { run.OnPlannedStop(last_answers); });
   drain_timer_.start();
 }
 
@@ -266,7 +268,7 @@
   const auto since = now - drain_began_;
   const StopSchedule stop = *context_.stop();
   if (now >= stop.last_answers) {
-    ForEachRun([](RequestRun& run) { run.EndBeforeExit(); });
+    ForEachRun([](RequestRun& run) { run.AnswerBeforeExit(); });
   }
   if (since < kBalancerDetectionTime && now < stop.last_answers) return;
   const auto open = callers_;
--- a/libs/entry/src/instance_links.cc
+++ b/libs/entry/src/instance_links.cc
@@ -52,7 +52,7 @@
     // The first connection tells the peer instance that this one has started.
     if (is_new) Connect(name, instance).outgoing();
   }
-  context_.retries.NoteList(
+  context_.retries.OnFleetList(
       {.instances = static_cast<int>(instances_.size()) + 1,
        .self_listed = listed},
       Clock::now());
--- a/libs/entry/src/stage_router.cc
+++ b/libs/entry/src/stage_router.cc
@@ -59,7 +59,7 @@
 uint64_t StageRouter::Submit(const std::string& service, stages::Piece piece,
                              stages::PieceEvents events) {
   if (!piece.repeated) {
-    context_.retries.OnRequest(service, Clock::now(), kPieceWeight);
+    context_.retries.OnRequest(service, Clock::now(), kPieceCreditWeight);
   }
   const uint64_t ticket = next_ticket_++;
   std::string shard = ShardFor(service, {piece.request_id, piece.zone});
@@ -132,7 +132,7 @@
 
 bool StageRouter::TakeRetryCredit(const std::string& service,
                                   const std::string& request, int pieces) {
-  return entry::TakeRepeats(context_, service, request, pieces);
+  return entry::SpendRetryCredit(context_, service, request, pieces);
 }
 
 bool StageRouter::Cancel(const std::string& /*service*/, uint64_t ticket) {
@@ -197,9 +197,9 @@
     // elsewhere.
     const bool is_retry = !reconnected && pending.may_have_run;
     pending.piece.repeated = pending.piece.repeated || is_retry;
-    if (is_retry &&
-        !entry::TakeRepeats(context_, stages::ParseShard(pending.shard).service,
-                            pending.piece.request_id)) {
+    if (is_retry && !entry::SpendRetryCredit(
+                        context_, stages::ParseShard(pending.shard).service,
+                        pending.piece.request_id)) {
       OnDone(ticket,
              {.failure = PieceFailure::kFailed, .handle = {}, .zone = {}});
       continue;
