--- a/libs/gateway/include/turmeric/gateway/admission.h
+++ b/libs/gateway/include/turmeric/gateway/admission.h
@@ -10,26 +10,30 @@
 namespace turmeric::gateway {
 
 /**
- * Decides whether a request is taken on this instance: per-organisation
- * concurrency limits, deadline-aware shedding and drain. A refused request
- * is told "not run" at once, with when to come back.
+ * Admission control of this instance: per-organisation concurrency limits,
+ * rejection of requests whose deadline is too short, and drain. A request is
+ * refused before anything runs.
  */
 class Admission {
  public:
   /**
    * @param settings settings in force for the request.
-   * @param deadline_ms the caller's deadline for the whole pipeline.
-   * @param live_instances instances at work, this one included; each admits
-   *     its share of a fleet-wide limit.
-   * @return kOk to go on, else the refusal code (nothing ran).
+   * @param deadline_ms the caller's deadline for the whole pipeline, ms.
+   * @param live_instances number of live instances, this one included; each
+   *     admits an equal share of a fleet-wide limit.
+   * @return kOk if the request is admitted, else the refusal code (nothing
+   *     ran).
    */
   utils::Errc TryAdmit(const config::ResolvedSettings& settings,
                        int deadline_ms, int live_instances = 1);
-  /** @param settings as given to a successful TryAdmit. */
+  /**
+   * Ends an admitted request.
+   * @param settings the settings passed to the successful TryAdmit.
+   */
   void Release(const config::ResolvedSettings& settings);
-  /** Stops taking new work; in-flight work goes on. */
+  /** Refuses new requests from now on; requests in flight continue. */
   void StartDrain() { draining_ = true; }
-  /** @return true once draining. */
+  /** @return true after StartDrain. */
   bool draining() const { return draining_; }
   /** @return requests admitted and not yet released. */
   int inflight() const { return inflight_; }
--- a/libs/gateway/include/turmeric/gateway/answer_json.h
+++ b/libs/gateway/include/turmeric/gateway/answer_json.h
@@ -16,30 +16,33 @@
 struct RunAnswer;
 
 /**
- * @param request_id the request, empty for operator calls.
- * @param code result code. @param detail what went wrong.
- * @param state what is known of whether the request ran.
- * @param retry_after_ms when to come back, -1: not at all.
- * @return an error answer's JSON body, with when to come back.
+ * @param request_id request id, empty for operator calls.
+ * @param code result code.
+ * @param detail description of the error.
+ * @param state whether the request ran, as far as this instance can tell.
+ * @param retry_after_ms Retry-After delay in ms; -1: no retry is advised.
+ * @return the JSON body of an error answer.
  */
 QByteArray ErrorJson(std::string_view request_id, utils::Errc code,
                      std::string_view detail, utils::RunState state,
                      int retry_after_ms);
 
 /**
- * @param request_id the request. @param settings its settings.
- * @param answer how it ended.
- * @param retry_after_ms when to come back, -1: not at all.
- * @return the answer's JSON body.
+ * @param request_id request id.
+ * @param settings settings the request ran with.
+ * @param answer outcome of the run.
+ * @param retry_after_ms Retry-After delay in ms; -1: no retry is advised.
+ * @return the JSON body of the answer.
  */
 QByteArray AnswerJson(std::string_view request_id,
                       const config::ResolvedSettings& settings,
                       const RunAnswer& answer, int retry_after_ms);
 
 /**
- * @param request_id the request.
- * @param retry_after_ms when to come back, -1: not at all.
- * @return headers of its answer: the id and, where it helps, Retry-After.
+ * @param request_id request id.
+ * @param retry_after_ms Retry-After delay in ms; -1: no retry is advised.
+ * @return the answer's headers: the request id, and Retry-After in whole
+ *     seconds, rounded up, if a retry is advised.
  */
 http::Headers AnswerHeaders(std::string_view request_id, int retry_after_ms);
 
--- a/libs/gateway/include/turmeric/gateway/claim.h
+++ b/libs/gateway/include/turmeric/gateway/claim.h
@@ -6,38 +6,46 @@
 
 namespace turmeric::gateway {
 
-/** What looking up or acquiring an at-most-once claim found. */
+/** Result of looking up or acquiring an at-most-once claim. */
 enum class ClaimState {
-  kFree,               ///< Nobody holds it (lookup only).
-  kOwned,              ///< This attempt holds the claim: it may run.
-  kDone,               ///< Ran before; `result` holds its answer.
-  kInFlightElsewhere,  ///< Claimed by another attempt; outcome unknown.
-  kOtherRequest,       ///< The key was used for another request.
-  kStoreDown,          ///< Could not tell; this attempt ran nothing.
+  kFree,   ///< No attempt holds the claim.
+  kOwned,  ///< This attempt holds the claim and may run the request.
+  kDone,   ///< The request ran before; `result` holds its answer.
+  kInFlightElsewhere,  ///< Another attempt holds the claim; outcome unknown.
+  kKeyReused,  ///< The key belongs to a request with another fingerprint.
+  kStoreUnreachable,  ///< The store gave no usable answer; this attempt ran
+                      ///< nothing.
 };
 
-/** Which logical request a claim is for. */
+/** Identifies the logical request that a claim belongs to. */
 struct ClaimSubject {
-  /** Store key: unique per business, organisation, pipeline and caller's
-   * key, so that no two requests share a claim. */
+  /**
+   * Store key, unique per business, organisation, pipeline and idempotency key,
+   * so that no two requests share a claim.
+   */
   std::string key;
-  /** Hash of what the caller asked; a key stands for one request only. */
+  /**
+   * Hash of the request's input; a key reused with another fingerprint is
+   * refused.
+   */
   std::string fingerprint;
 };
 
 /** A claim on one idempotency key. */
 struct Claim {
-  ClaimState state = ClaimState::kStoreDown;
+  ClaimState state = ClaimState::kStoreUnreachable;
   ClaimSubject subject;
-  std::string token;    ///< This attempt's token, unique for ever.
-  int64_t version = 0;  ///< Version of the claim object we wrote.
+  std::string token;    ///< Token of this attempt, unique across all attempts.
+  int64_t version = 0;  ///< Version of the claim object in the store.
   std::string result;   ///< With kDone: the stored answer.
 };
 
 /**
- * @param business business. @param organisation organisation.
- * @param pipeline pipeline. @param idempotency_key the caller's key.
- * @return the request's name among all requests, its parts percent-encoded:
+ * @param business business.
+ * @param organisation organisation.
+ * @param pipeline pipeline.
+ * @param idempotency_key idempotency key sent by the caller.
+ * @return the globally unique name of the request, each part percent-encoded:
  *     "<business>/<organisation>/<pipeline>/<key>".
  */
 std::string QualifiedKey(std::string_view business,
@@ -45,7 +53,10 @@
                          std::string_view pipeline,
                          std::string_view idempotency_key);
 
-/** @param qualified_key from QualifiedKey. @return its claim's store key. */
+/**
+ * @param qualified_key result of QualifiedKey.
+ * @return the store key of the claim.
+ */
 std::string ClaimStoreKey(std::string_view qualified_key);
 
 }  // namespace turmeric::gateway
--- a/libs/gateway/include/turmeric/gateway/config_handler.h
+++ b/libs/gateway/include/turmeric/gateway/config_handler.h
@@ -14,31 +14,46 @@
 
 class StoreService;
 
-/** Path prefix of the settings in force on this instance. */
+/**
+ * Path prefix of the route that returns the settings in force on this instance.
+ */
 inline constexpr std::string_view kResolvedPath = "/v1/resolved/";
-/** Path prefix of the operators' settings calls. */
+/**
+ * Path prefix of the routes that read and write the levels of the settings
+ * tree.
+ */
 inline constexpr std::string_view kConfigPath = "/v1/config/";
 
 /**
- * The operators' side of the settings tree: read, list and conditionally
- * write its levels in the platform's store (docs/operations/settings.md).
+ * HTTP handlers for operators of the settings tree: read, list and
+ * conditionally write its levels in the platform's store
+ * (docs/operations/settings.md).
  */
 class ConfigHandler : public QObject {
  public:
-  /** @param store the platform's store. @param tree the settings in force. */
+  /**
+   * @param store the platform's store.
+   * @param tree the settings in force.
+   */
   ConfigHandler(StoreService& store, const config::SettingsTree& tree)
       : store_(store), tree_(tree) {}
-  /** @param request GET of a level or a prefix. @param responder its answer. */
+  /**
+   * @param request GET of a level or a prefix.
+   * @param responder writer of the answer.
+   */
   void HandleGet(const QHttpServerRequest& request,
                  http::Responder&& responder);
-  /** @param request PUT with If-Match. @param responder its answer. */
+  /**
+   * @param request PUT with If-Match.
+   * @param responder writer of the answer.
+   */
   void HandlePut(const QHttpServerRequest& request,
                  http::Responder&& responder);
 
   /**
-   * What is in force on this instance, store or no store.
+   * Returns the settings in force on this instance; needs no store access.
    * @param request GET /v1/resolved/<business>/<pipeline>/<organisation>.
-   * @param responder its answer.
+   * @param responder writer of the answer.
    */
   void HandleResolved(const QHttpServerRequest& request,
                       http::Responder&& responder);
--- a/libs/gateway/include/turmeric/gateway/drain_step.h
+++ b/libs/gateway/include/turmeric/gateway/drain_step.h
@@ -4,28 +4,30 @@
 
 namespace turmeric::gateway {
 
-/** A planned stop as it stands at one moment. */
-struct DrainView {
-  std::chrono::milliseconds since_begin{0};  ///< Time since the stop began.
-  std::chrono::milliseconds grace{0};        ///< Serving on, unhealthy.
-  std::chrono::milliseconds timeout{0};      ///< From the grace's end on.
-  bool work_open = false;  ///< Requests in flight, or claims unwritten.
-  bool unsent = false;     ///< Answers still lie in this process.
+/** State of a planned stop at one moment. */
+struct DrainStatus {
+  std::chrono::milliseconds elapsed{0};  ///< Time since the stop began.
+  std::chrono::milliseconds grace{0};    ///< Serves while /healthz fails.
+  std::chrono::milliseconds timeout{0};  ///< Drain limit after the grace.
+  bool work_in_flight = false;           ///< Open requests or unwritten claims.
+  bool answers_unsent = false;  ///< Answers are still buffered in this process.
 };
 
-/** What a planned stop does next. */
+/** Next action of a planned stop. */
 enum class DrainStep {
-  kServe,       ///< Takes new requests: the balancer still sends them.
-  kFinish,      ///< Refuses new requests, lets the open ones end.
-  kAnswerOpen,  ///< Gives every request still open its final answer.
-  kExit,        ///< Nothing is open any more, or the time is up.
+  kServe,            ///< Admits new requests: the balancer still sends them.
+  kDrainInFlight,    ///< Refuses new requests; requests in flight continue.
+  kAnswerRemaining,  ///< Sends a final answer to every request still in flight.
+  kExit,  ///< Nothing is in flight and all answers are sent, or the drain
+          ///< timeout has expired.
 };
 
 /**
- * Keeps the last part of the drain timeout for final answers: due only when it
- * has passed, they would be lost with the process.
- * @param view the stop now. @return what it does next.
+ * Reserves the last part of the drain timeout for final answers: an answer
+ * written only when the timeout expires would be lost with the process.
+ * @param status current state of the stop.
+ * @return the next action.
  */
-DrainStep NextDrainStep(const DrainView& view);
+DrainStep NextDrainStep(const DrainStatus& status);
 
 }  // namespace turmeric::gateway
--- a/libs/gateway/include/turmeric/gateway/embedded_stack.h
+++ b/libs/gateway/include/turmeric/gateway/embedded_stack.h
@@ -15,16 +15,22 @@
 class GatewayService;
 
 /**
- * The embedded platform (store stand-in, upstream stand-ins) plus entry
- * instances, each with its own kernel, all in this process: what the load
- * tool runs against when no --target is given.
+ * The embedded platform (store and upstream stand-ins) and entry instances,
+ * each with its own kernel, all in this process. The load tool uses it when no
+ * --target is given.
  */
 struct EmbeddedStack {
   EmbeddedStack();
   ~EmbeddedStack();
-  /** @param instances entry instances to start. @return false on failure. */
+  /**
+   * @param instances number of entry instances to start.
+   * @return false on failure.
+   */
   bool Start(int instances);
-  /** @param instance index. @return its base URL. */
+  /**
+   * @param instance index of the instance.
+   * @return its base URL.
+   */
   QString Url(int instance) const;
 
   std::shared_ptr<store::MemoryStore> store;
--- a/libs/gateway/include/turmeric/gateway/gateway_metrics.h
+++ b/libs/gateway/include/turmeric/gateway/gateway_metrics.h
@@ -15,31 +15,38 @@
 namespace turmeric::gateway {
 
 /**
- * The instance's metrics (prometheus-cpp). Cost by business and stage is
- * upstream seconds and generated tokens; attainment is requests answered
- * whole within deadline over all requests.
+ * Prometheus metrics of this instance. Cost is reported per business and stage
+ * as upstream seconds and generated tokens. Attainment is the share of requests
+ * that are answered completely within their deadline.
  */
 class GatewayMetrics {
  public:
   GatewayMetrics();
   /**
-   * @param business business. @param pipeline pipeline.
-   * @param state run state name. @param code result code name.
-   * @param seconds end-to-end time. @param in_deadline answered whole in time.
+   * @param business business.
+   * @param pipeline pipeline.
+   * @param state run state name.
+   * @param code result code name.
+   * @param seconds end-to-end duration.
+   * @param in_deadline true if a complete answer was given within the deadline.
    */
   void OnRequest(std::string_view business, std::string_view pipeline,
                  std::string_view state, std::string_view code, double seconds,
                  bool in_deadline);
   /**
-   * @param business business. @param stage stage.
-   * @param seconds upstream time. @param tokens tokens generated.
-   * @param result how the call ended.
+   * @param business business.
+   * @param stage stage.
+   * @param seconds upstream duration.
+   * @param tokens number of tokens generated.
+   * @param result outcome of the call.
    */
   void OnStageCall(std::string_view business, std::string_view stage,
                    double seconds, int tokens, CallResult result);
-  /** Counts an answer that did not echo its own request id. */
+  /** Counts an answer that did not echo the id of its request. */
   void OnMisdelivered() { misdelivered_.Increment(); }
-  /** @return the text exposition, with process CPU updated. */
+  /**
+   * @return the text exposition, with process CPU time and peak memory updated.
+   */
   std::string Render();
 
  private:
--- a/libs/gateway/include/turmeric/gateway/gateway_service.h
+++ b/libs/gateway/include/turmeric/gateway/gateway_service.h
@@ -20,66 +20,82 @@
 class StoreService;
 
 /**
- * Service "gateway": the caller front (QHttpServer) with its handlers, the
- * watch on the platform's instance list, the sweep of old claims and the
- * planned stop. Routes: see docs/operations/api.md.
+ * Service "gateway": the HTTP server for callers and its handlers, the watch on
+ * the platform's instance list, the sweep of expired claims and the planned
+ * stop. Routes: see docs/operations/api.md.
  */
 class GatewayService : public kernel::Service {
  public:
-  /** @param settings this instance's INI settings. */
+  /** @param settings INI settings of this instance. */
   explicit GatewayService(config::InstanceSettings settings);
   ~GatewayService() override;
   std::string_view name() const override { return "gateway"; }
   utils::Result<void> Start(kernel::Kernel& kernel) override;
   void Stop() override;
   /**
-   * Turns unhealthy, so that the balancer looks elsewhere; after the grace
-   * stops taking new work, and calls `done` when nothing is in flight and all
-   * answers have left the process, or the drain timeout passes. Requests that
-   * would outlast it get a final answer in its last part.
-   * @param done called once.
+   * Starts a planned stop. /healthz fails at once, so that the balancer selects
+   * other instances; after the grace period new requests are refused. Requests
+   * that would outlast the drain timeout receive a final answer in its last
+   * part.
+   * @param done called once, when nothing is in flight and all answers have
+   *     been sent, or when the drain timeout expires.
    */
   void Drain(std::function<void()> done);
   /**
-   * After Drain, before the exit: closes the listening socket and refuses what
-   * is still on its way. @param done called once.
+   * Closes the listening socket after Drain, and refuses the requests that
+   * still arrive on open connections.
+   * @param done called once, when the process may exit.
    */
   void Close(std::function<void()> done);
-  /** @return bound port. */
+  /** @return the port the server listens on. */
   uint16_t port() const { return port_; }
   /** @return the instance's metrics. */
-  GatewayMetrics& metrics() { return runs_->metrics(); }
-  /** @return the instance's claims. */
-  ClaimTable& claims() { return runs_->claims(); }
-  /** Closes the listening socket at once, as a killed process would. */
+  GatewayMetrics& metrics() { return run_handler_->metrics(); }
+  /** @return the at-most-once claims of this instance. */
+  ClaimTable& claims() { return run_handler_->claims(); }
+  /**
+   * Closes the listening socket and all connections at once, as a killed
+   * process does.
+   */
   void Kill();
 
  private:
   void AddRoutes();
   void WatchInstanceList();
-  /** @param all list all claims, else only those completed here. */
+  /**
+   * @param all true: lists all claims; false: only claims completed by this
+   *     instance.
+   */
   void SweepClaims(bool all);
-  /** Sends what the system takes at once. @return true if that was all. */
+  /**
+   * Writes buffered answers to the sockets, as far as the kernel accepts them.
+   * @return true if no unsent bytes are left.
+   */
   bool FlushAnswers();
   int LiveInstances() const;
 
   config::InstanceSettings settings_;
   http::RouterServer server_;
   StoreService* store_ = nullptr;
-  MembershipService* members_ = nullptr;  ///< May be absent.
-  std::unique_ptr<RunHandler> runs_;
-  std::unique_ptr<ConfigHandler> config_;
-  /** What the instance list held, in case it must be listed anew. */
-  store::HeldRevisions listed_;
-  /** The platform's (lagging) list of live and leaving upstreams. */
+  MembershipService* membership_ = nullptr;  ///< Null if not registered.
+  std::unique_ptr<RunHandler> run_handler_;
+  std::unique_ptr<ConfigHandler> config_handler_;
+  /**
+   * Keys and revisions read from the instance list, for a resync by listing.
+   */
+  store::HeldRevisions instance_list_revisions_;
+  /**
+   * Watch on the platform's list of live and leaving upstreams, which lags
+   * their own state.
+   */
   std::unique_ptr<store::ResumableWatch> instance_list_;
   std::unique_ptr<store::WatchKeeper> instance_list_keeper_;
-  std::unique_ptr<store::DutyLease> sweep_duty_;
-  QTimer recover_;
-  QTimer sweep_;
-  QTimer sweep_all_;
+  std::unique_ptr<store::DutyLease> sweep_lease_;
+  QTimer claim_retry_timer_;
+  QTimer sweep_timer_;
+  QTimer sweep_all_timer_;
   uint16_t port_ = 0;
-  bool leaving_ = false;  ///< A planned stop has begun.
+  bool stopping_ = false;  ///< A planned stop has begun.
 };
 
 }  // namespace turmeric::gateway
--- a/libs/gateway/include/turmeric/gateway/latency_quantile.h
+++ b/libs/gateway/include/turmeric/gateway/latency_quantile.h
@@ -5,15 +5,15 @@
 namespace turmeric::gateway {
 
 /**
- * A running estimate of one latency quantile in constant space (stochastic
- * approximation: up by q·step on a larger sample, down by (1-q)·step on a
- * smaller one, the step being a share of the estimate).
+ * Running estimate of one latency quantile in constant space by stochastic
+ * approximation: a larger sample raises the estimate by q·step, a smaller one
+ * lowers it by (1-q)·step, where step is a fixed share of the estimate.
  */
 class LatencyQuantile {
  public:
   /** @param quantile in (0, 1). */
   explicit LatencyQuantile(double quantile) : quantile_(quantile) {}
-  /** @param ms one sample. */
+  /** @param ms one latency sample. */
   void Add(double ms) {
     constexpr double kStepShare = 0.05;
     if (samples_++ == 0) estimate_ms_ = ms;
@@ -21,10 +21,10 @@
     estimate_ms_ +=
         ms > estimate_ms_ ? quantile_ * step : -(1 - quantile_) * step;
   }
-  /** @return the estimate in ms; 0 until there are enough samples. */
+  /** @return the estimate in ms; 0 before kMinSamples samples. */
   double estimate_ms() const {
-    constexpr int kEnoughSamples = 20;
-    return samples_ < kEnoughSamples ? 0 : estimate_ms_;
+    constexpr int kMinSamples = 20;
+    return samples_ < kMinSamples ? 0 : estimate_ms_;
   }
 
  private:
--- a/libs/gateway/include/turmeric/gateway/membership_service.h
+++ b/libs/gateway/include/turmeric/gateway/membership_service.h
@@ -14,25 +14,28 @@
 class StoreService;
 
 /**
- * Service "membership": which entry instances are at work. The roster is the
- * store's `instances/` objects, one per instance, written at start and
- * deleted at a planned stop; who of them is alive is told by UDP gossip
- * (docs/design/membership.md). Without a membership port it counts only
- * this instance.
+ * Service "membership": the set of live entry instances. The roster is the
+ * store's `instances/` objects, one per instance, written at start and deleted
+ * at a planned stop; UDP gossip determines which instances of the roster are
+ * alive (docs/design/membership.md). Without a membership port only this
+ * instance is counted.
  */
 class MembershipService : public kernel::Service {
  public:
-  /** @param settings this instance's INI settings. */
+  /** @param settings INI settings of this instance. */
   explicit MembershipService(config::InstanceSettings settings);
   ~MembershipService() override;
   std::string_view name() const override { return "membership"; }
   utils::Result<void> Start(kernel::Kernel& kernel) override;
   void Stop() override;
-  /** Tells the others that this instance is stopping. */
+  /**
+   * Announces to peer instances that this instance is stopping, and deletes its
+   * roster entry.
+   */
   void Leave();
-  /** @return instances at work, this one included. */
+  /** @return number of live instances, this one included. */
   int live_count() const;
-  /** @return membership datagrams and their bytes sent so far. */
+  /** @return bytes of all membership datagrams sent so far. */
   int64_t bytes_sent() const { return bytes_sent_; }
 
  private:
@@ -45,8 +48,8 @@
   StoreService* store_ = nullptr;
   std::unique_ptr<membership::Membership> membership_;
   QUdpSocket socket_;
-  QTimer tick_;
-  QTimer roster_;
+  QTimer tick_timer_;
+  QTimer roster_timer_;
   bool registered_ = false;
   bool leaving_ = false;
   int64_t bytes_sent_ = 0;
--- a/libs/gateway/include/turmeric/gateway/pipeline_run.h
+++ b/libs/gateway/include/turmeric/gateway/pipeline_run.h
@@ -23,7 +23,7 @@
 struct StageOutcome;
 struct UpstreamState;
 
-/** One request as the caller front hands it to the executor. */
+/** One request, as RunHandler passes it to PipelineRun. */
 struct RunRequest {
   std::string request_id;
   /** Sent with non-idempotent calls; unique per logical request. */
@@ -31,15 +31,17 @@
   config::ResolvedSettings settings;
   std::string input;
   int max_tokens = 16;
-  /** Claims the request before its first non-idempotent call, then calls
-   * back; empty if the request has no non-idempotent stage. */
+  /**
+   * Claims the request before its first non-idempotent call and passes the
+   * claim to the callback; empty if all stages are idempotent.
+   */
   std::function<void(std::function<void(const Claim&)>)> acquire_claim;
-  bool stream = false;  ///< Forward generated tokens as they come.
+  bool stream = false;  ///< Forward generated tokens as they arrive.
   std::chrono::steady_clock::time_point deadline;
   utils::TraceContext trace;  ///< This request's span in the caller's trace.
 };
 
-/** What one stage cost. */
+/** Cost of one completed stage. */
 struct StageRecord {
   std::string stage;
   std::string upstream;
@@ -49,7 +51,9 @@
   bool idempotent = true;
 };
 
-/** The answer to one request: whole, or an error saying what ran. */
+/**
+ * The answer to one request: a complete output, or an error with the run state.
+ */
 struct RunAnswer {
   utils::RunState state = utils::RunState::kNotRun;
   utils::Errc code = utils::Errc::kOk;
@@ -58,15 +62,18 @@
   std::vector<StageRecord> stages;
   /** The recorded answer, if another attempt ran this request before. */
   std::string replay;
-  /** The process ends before the run could: a stream has no proper end. */
-  bool cut_off = false;
+  /**
+   * True if the process exits before the run ends: a stream is then closed
+   * without its end marker.
+   */
+  bool aborted = false;
 };
 
-/** What the executor uses, owned by the gateway service. */
+/** Objects shared by all runs, owned by RunHandler. */
 struct RunContext {
   QNetworkAccessManager* network = nullptr;
-  /** For non-idempotent calls: one connection a call, never reused. */
-  QNetworkAccessManager* fresh_network = nullptr;
+  /** For non-idempotent calls: every call opens its own connection. */
+  QNetworkAccessManager* non_persistent_network = nullptr;
   UpstreamPools* pools = nullptr;
   GatewayMetrics* metrics = nullptr;
   utils::SpanSink* spans = nullptr;
@@ -74,17 +81,17 @@
 };
 
 /**
- * Runs one request's stages in order under its one deadline: each stage gets
- * what is left of it. Idempotent stages are retried on another upstream
- * within the pool's retry budget, and hedged (cloned to a second upstream, the
- * first whole answer wins) within its hedge budget; non-idempotent ones are
- * sent again only when the call certainly did not run. Deletes itself when
- * done.
+ * Runs the stages of one request in order under a single deadline; each stage
+ * gets the time that remains. Idempotent stages are retried on another upstream
+ * within the pool's retry budget, and hedged (a second call to another
+ * upstream, the first complete answer wins) within its hedge budget. A
+ * non-idempotent stage is retried only if its call certainly did not run.
+ * Deletes itself after `on_done`.
  */
 class PipelineRun : public QObject {
  public:
   /**
-   * @param context shared executor parts.
+   * @param context objects shared by all runs.
    * @param request the request.
    * @param on_token called per generated token when streaming.
    * @param on_done called once with the answer.
@@ -95,35 +102,43 @@
   /** Starts the first stage. */
   void Start();
   /**
-   * The caller has gone: idempotent work stops at once. Once a
-   * non-idempotent call has been sent the run goes on, so that a retry under
-   * the same idempotency key gets its answer.
+   * Cancels the run after the caller has disconnected. Once a non-idempotent
+   * call has been sent the run continues instead, so that a retry with the same
+   * idempotency key receives its answer.
    */
   void Cancel();
-  /** The process is about to exit: ends the run with what may be told of it. */
-  void CutOff();
+  /**
+   * Ends the run because the process is about to exit; the answer states as
+   * much as is certain about what ran.
+   */
+  void Abort();
 
  private:
   void RunStage();
   void StartCall(const UpstreamState* exclude);
-  void ArmHedge();
+  void StartHedgeTimer();
   void OnClaim(const Claim& claim);
   void OnCallDone(StageCall* call, const StageOutcome& outcome);
   void OnStageOk(const StageCall& call, const StageOutcome& outcome);
   void OnStageFailed(const StageCall& call, const StageOutcome& outcome);
   void OnDeadline();
-  /** Reports a call's end to routing, metrics (cost) and traces. */
+  /** Reports the end of a call to routing state, metrics (cost) and traces. */
   void Account(const StageCall& call, const StageOutcome& outcome);
   void CancelCalls();
-  /** @return what may be told of a request that ends now, unfinished. */
-  utils::RunState UnfinishedState() const;
+  /**
+   * @return the run state of a request that ends now, before its last stage.
+   */
+  utils::RunState StateIfEndedNow() const;
   void Finish(utils::RunState state, utils::Errc code, std::string detail);
   int RemainingMs() const;
   const config::StageSpec& stage() const {
     return req_.settings.stages[stage_];
   }
-  bool streams_here() const;
-  /** @return the stage before which a keyed request is claimed. */
+  bool StreamsCurrentStage() const;
+  /**
+   * @return the index of the first non-idempotent stage, before which the claim
+   *     is acquired.
+   */
   size_t ClaimStage() const;
 
   RunContext ctx_;
@@ -131,16 +146,16 @@
   std::function<void(const QByteArray&)> on_token_;
   std::function<void(const RunAnswer&)> on_done_;
   RunAnswer answer_;
-  QTimer deadline_;
-  QTimer hedge_;
-  std::vector<StageCall*> calls_;  ///< In flight for the current stage.
+  QTimer deadline_timer_;
+  QTimer hedge_timer_;
+  std::vector<StageCall*> calls_;  ///< Calls in flight for the current stage.
   size_t stage_ = 0;
   int attempt_ = 0;
-  /** A non-idempotent call was sent and is not proved unrun. */
+  /** A non-idempotent call was sent and may have run. */
   bool non_idempotent_sent_ = false;
   bool claimed_ = false;
-  /** Some call was sent and is not proved unrun. */
-  bool any_sent_ = false;
+  /** A call was sent and may have run. */
+  bool any_call_sent_ = false;
   std::string current_input_;
   std::string streamed_text_;
   int streamed_tokens_ = 0;
--- a/libs/gateway/include/turmeric/gateway/retry_budget.h
+++ b/libs/gateway/include/turmeric/gateway/retry_budget.h
@@ -5,18 +5,21 @@
 namespace turmeric::gateway {
 
 /**
- * Caps extra calls (retries, hedges) at a share of first attempts, so that
- * they cannot multiply load when an upstream pool is already failing.
+ * Limits extra calls (retries, hedges) to a share of first attempts, so that
+ * they cannot multiply the load on an upstream pool that is already failing.
  */
 class RetryBudget {
  public:
-  /** Credits a first attempt. @param percent extra calls allowed per 100. */
+  /**
+   * Adds the credit of one first attempt.
+   * @param percent extra calls allowed per 100 first attempts.
+   */
   void OnAttempt(int percent) {
     tokens_ = std::min(kMaxTokens, tokens_ + percent / 100.0);
   }
   /**
-   * @param percent extra calls allowed per 100; 0 allows none.
-   * @return true and spends a token if an extra call may be sent now.
+   * @param percent extra calls allowed per 100 first attempts; 0 allows none.
+   * @return true if an extra call may be sent now; it takes one token.
    */
   bool TrySpend(int percent) {
     if (percent == 0 || tokens_ < 1.0) return false;
@@ -26,7 +29,9 @@
 
  private:
   static constexpr double kMaxTokens = 20.0;
-  /** Enough to retry the first failures after a start. */
+  /**
+   * Initial tokens, so that the first failures after a start can be retried.
+   */
   double tokens_ = 3.0;
 };
 
--- a/libs/gateway/include/turmeric/gateway/run_handler.h
+++ b/libs/gateway/include/turmeric/gateway/run_handler.h
@@ -29,97 +29,125 @@
 class StoreService;
 
 /**
- * Takes callers' run requests through admission, at-most-once claims and the
- * executor to their answers. Event-loop thread only; store calls go through
- * the store service's executor.
+ * Handles run requests of callers: admission, at-most-once claim, execution,
+ * answer. Event-loop thread only; store calls run on the store service's
+ * executor.
  */
 class RunHandler : public QObject {
  public:
   /**
-   * @param settings this instance's settings. @param tree the settings tree.
+   * @param settings settings of this instance.
+   * @param tree the settings tree.
    * @param store the platform's store.
-   * @param live_instances how many instances are at work.
+   * @param live_instances returns the number of live instances.
    */
   RunHandler(const config::InstanceSettings& settings,
              const config::SettingsTree& tree, StoreService& store,
              std::function<int()> live_instances);
   ~RunHandler() override;
 
-  /** @param request a caller's request. @param responder its answer. */
+  /**
+   * @param request run request of a caller.
+   * @param responder writer of the answer.
+   */
   void Handle(const QHttpServerRequest& request, http::Responder&& responder);
-  /** Retries what the store could not take; called now and then. */
-  void Recover();
   /**
-   * The process is about to exit: every request still open gets its final
-   * answer now. @return how many were open.
+   * Retries claim completions and releases that the store did not confirm;
+   * called periodically.
+   */
+  void RetryPendingClaims();
+  /**
+   * Sends a final answer to every request in flight, because the process is
+   * about to exit.
+   * @return number of requests that were in flight.
+   */
+  int AbortOpenRequests();
+  /**
+   * Stops all processing without answering or writing claims, as a killed
+   * process does.
    */
-  int EndOpen();
-  /** Forgets everything in flight, as a killed process does. */
   void Kill();
   /** @return true once the settings have been read. */
   bool ready() const;
-  /** @return true when nothing is in flight and all claims are written. */
+  /** @return true if nothing is in flight and all claims are written. */
   bool idle() const;
 
-  /** @return who is let in. */
+  /** @return admission control. */
   Admission& admission() { return admission_; }
   /** @return the instance's metrics. */
   GatewayMetrics& metrics() { return metrics_; }
   /** @return at-most-once claims. */
   ClaimTable& claims() { return claims_; }
-  /** @return the upstreams routed to. */
+  /** @return the upstream pools used for routing. */
   UpstreamPools& pools() { return pools_; }
 
  private:
   struct Exchange;
   using ExchangeRef = std::shared_ptr<Exchange>;
 
-  /** @param answers whether the store just answered. */
-  void NoteStore(bool answers);
-  /** @return as utils::RetryAfterMs, longer the longer the store is down. */
+  /** @param responded true if the latest store call was answered. */
+  void RecordStoreResult(bool responded);
+  /**
+   * @return as utils::RetryAfterMs; for an unreachable store the delay grows
+   *     with the duration of the outage.
+   */
   int RetryAfterMs(utils::Errc code) const;
   void Refuse(Exchange& exchange, utils::Errc code, std::string_view detail,
               utils::RunState state);
-  /** @param exchange admitted, and ended now. */
-  void Leave(const ExchangeRef& exchange);
+  /**
+   * Ends an admitted request: releases its admission slot.
+   * @param exchange the request.
+   */
+  void EndExchange(const ExchangeRef& exchange);
   void LookUpClaim(const ExchangeRef& exchange);
   void StartRun(const ExchangeRef& exchange);
   void AcquireClaim(const ExchangeRef& exchange,
                     std::function<void(const Claim&)> done);
   void OnRunDone(const ExchangeRef& exchange, const RunAnswer& answer);
-  void SettleClaim(Exchange& exchange, const RunAnswer& answer,
+  void FinishClaim(Exchange& exchange, const RunAnswer& answer,
                    const QByteArray& body);
-  void Record(const Exchange& exchange, const RunAnswer& answer);
+  void RecordRequest(const Exchange& exchange, const RunAnswer& answer);
   void WriteReplay(Exchange& exchange, const std::string& body);
-  /** Runs claim work on a store thread; counted until it is done. */
+  /**
+   * Runs `work` on a store thread and `done` on the event loop; the call counts
+   * as open until `done` runs.
+   */
   template <class Work, class Done>
-  void OnStore(Work work, Done done);
-  int64_t KeepUntilUnixMs() const;
+  void RunOnStoreThread(Work work, Done done);
+  int64_t ClaimExpiryUnixMs() const;
 
   const config::InstanceSettings settings_;
   const config::SettingsTree& tree_;
   StoreService& store_;
   std::function<int()> live_instances_;
-  /** Part of request ids: they must not repeat after a restart. */
+  /**
+   * Random id of this process start, part of request ids, so that they stay
+   * unique after a restart.
+   */
   const std::string incarnation_;
-  /** Qt opens at most 6 connections per upstream per manager; a few
-   * managers lift the cap. */
+  /**
+   * QNetworkAccessManager opens at most 6 connections per host and port;
+   * several managers raise this limit.
+   */
   std::vector<std::unique_ptr<QNetworkAccessManager>> networks_;
-  /** Non-idempotent calls: a kept connection the upstream closes just as
-   * the call is sent would leave its outcome unknown, so none is kept. */
-  std::vector<std::unique_ptr<QNetworkAccessManager>> fresh_networks_;
+  /**
+   * For non-idempotent calls, without connection reuse: if an upstream closed a
+   * reused connection just as a call is sent, the outcome of the call would be
+   * unknown.
+   */
+  std::vector<std::unique_ptr<QNetworkAccessManager>> non_persistent_networks_;
   UpstreamPools pools_;
   Admission admission_;
-  /** Admitted and not ended. */
-  std::set<std::weak_ptr<Exchange>, std::owner_less<>> open_;
+  /** Requests admitted and not yet ended. */
+  std::set<std::weak_ptr<Exchange>, std::owner_less<>> open_exchanges_;
   GatewayMetrics metrics_;
   utils::SpanSink spans_;
   ClaimTable claims_;
   std::mt19937_64 rng_;
   int64_t next_request_ = 0;
-  int store_work_ = 0;  ///< Claim calls open on store threads.
-  bool recovering_ = false;
-  std::optional<Clock::time_point> store_down_since_;
+  int open_store_calls_ = 0;  ///< Claim calls in progress on store threads.
+  bool retrying_claims_ = false;
+  std::optional<Clock::time_point> store_outage_since_;
   bool killed_ = false;
 };
 
--- a/libs/gateway/include/turmeric/gateway/run_parser.h
+++ b/libs/gateway/include/turmeric/gateway/run_parser.h
@@ -17,28 +17,29 @@
 /** Path prefix of run requests. */
 inline constexpr std::string_view kRunPrefix = "/v1/pipelines/";
 
-/** The parts of a caller's HTTP request that say what to run. */
-struct RawRun {
+/** The parts of a caller's HTTP request that define a run. */
+struct RawRunRequest {
   QString path;  ///< /v1/pipelines/<business>/<pipeline>:run
   QByteArray body;
-  QByteArray idempotency_key;  ///< Header, may be empty.
-  QByteArray traceparent;      ///< Header, may be empty.
+  QByteArray idempotency_key;  ///< Header value, may be empty.
+  QByteArray traceparent;      ///< Header value, may be empty.
 };
 
-/** A checked run request. */
-struct ParsedRun {
-  RunRequest run;  ///< Without request id and deadline.
+/** A validated run request. */
+struct ParsedRunRequest {
+  RunRequest run;  ///< Request id and deadline are not set.
   int deadline_ms = 0;
   bool idempotent = true;
-  ClaimSubject subject;  ///< If not idempotent.
+  ClaimSubject subject;  ///< Set only if not idempotent.
 };
 
 /**
- * Checks a run request against the settings in force.
- * @param raw the caller's request. @param tree the settings tree.
- * @return the request, or a 1xxx code; nothing was run.
+ * Validates a run request against the settings in force.
+ * @param raw HTTP request of the caller.
+ * @param tree the settings tree.
+ * @return the request, or a 1xxx code; nothing ran.
  */
-utils::Result<ParsedRun> ParseRun(const RawRun& raw,
-                                  const config::SettingsTree& tree);
+utils::Result<ParsedRunRequest> ParseRun(const RawRunRequest& raw,
+                                         const config::SettingsTree& tree);
 
 }  // namespace turmeric::gateway
--- a/libs/gateway/include/turmeric/gateway/settings_service.h
+++ b/libs/gateway/include/turmeric/gateway/settings_service.h
@@ -9,16 +9,16 @@
 namespace turmeric::gateway {
 
 /**
- * Service "settings": the watched settings tree. While the store is down
- * the cached tree keeps serving; the watch is re-armed with back-off from
- * the last applied revision.
+ * Service "settings": the settings tree, kept current by a store watch. While
+ * the store is unreachable the cached tree stays in force; the watch is armed
+ * again with backoff from the last applied revision.
  */
 class SettingsService : public kernel::Service {
  public:
   std::string_view name() const override { return "settings"; }
   utils::Result<void> Start(kernel::Kernel& kernel) override;
   void Stop() override;
-  /** @return the tree. */
+  /** @return the settings tree. */
   config::SettingsTree& tree() { return *tree_; }
 
  private:
--- a/libs/gateway/include/turmeric/gateway/stage_call.h
+++ b/libs/gateway/include/turmeric/gateway/stage_call.h
@@ -14,31 +14,32 @@
 
 namespace turmeric::gateway {
 
-/** One call to one upstream, as the executor orders it. */
+/** Parameters of one call to one upstream. */
 struct StageCallSpec {
-  std::string call_id;  ///< Unique per call; the answer must echo it.
+  std::string call_id;  ///< Unique per call; the upstream must echo it.
   config::StageSpec stage;
   UpstreamRef upstream;
   std::string input;
   int max_tokens = 16;
-  bool stream = false;          ///< Take tokens as they come (engines).
-  int resume_from = 0;          ///< Stream: first token index still wanted.
+  bool stream = false;  ///< Forward tokens as they arrive (engines only).
+  int resume_from = 0;  ///< Streams: index of the first token still missing.
   std::string idempotency_key;  ///< Empty for idempotent stages.
-  utils::TraceContext trace;    ///< This hop's span.
+  utils::TraceContext trace;    ///< Span of this call.
 };
 
-/** How a call ended. */
+/** Outcome of a call. */
 struct StageOutcome {
   CallReport report;
-  int status = 0;      ///< HTTP status, 0 if none came.
-  std::string output;  ///< With kOk and no stream: the stage's result.
+  int status = 0;      ///< HTTP status, 0 if no response was received.
+  std::string output;  ///< With kOk and no stream: the output of the stage.
   int tokens = 0;      ///< Tokens the engine generated in this call.
-  std::string error;   ///< What went wrong, for the operator.
+  std::string error;   ///< Description of the error, for operators.
 };
 
 /**
- * One HTTP call to one upstream: sends it once, checks that the answer is
- * whole and its own, and reports the end exactly once, unless cancelled.
+ * One HTTP call to one upstream. It is sent once; the answer is checked for
+ * completeness and for this call's id, and the outcome is reported exactly once
+ * unless the call is cancelled.
  */
 class StageCall : public QObject {
  public:
@@ -46,24 +47,28 @@
   using OnDone = std::function<void(StageCall*, const StageOutcome&)>;
 
   /**
-   * @param spec the call.
-   * @param on_token per token, in index order without gap or repeat.
+   * @param spec parameters of the call.
+   * @param on_token called per token, in index order without gaps or
+   *     duplicates.
    * @param on_done called once, from the event loop.
    */
   StageCall(StageCallSpec spec, OnToken on_token, OnDone on_done);
-  /** @param network the manager to send through. */
+  /** @param network network manager that sends the call. */
   void Send(QNetworkAccessManager& network);
-  /** Gives the call up; on_done is not called. @return what it cost. */
+  /**
+   * Aborts the call; on_done is not called.
+   * @return the outcome for cost accounting: elapsed time and tokens generated.
+   */
   StageOutcome Cancel();
-  /** @return the call as ordered. */
+  /** @return the parameters of the call. */
   const StageCallSpec& spec() const { return spec_; }
-  /** @return when it was sent, Unix µs. */
+  /** @return send time as Unix time in µs. */
   int64_t start_us() const { return start_us_; }
 
  private:
   void ReadStream();
   void OnFinished();
-  CallResult Judge(StageOutcome& outcome);
+  CallResult ClassifyReply(StageOutcome& outcome);
   double ElapsedMs() const;
 
   StageCallSpec spec_;
@@ -75,7 +80,7 @@
   int tokens_ = 0;
   bool stream_done_ = false;
   bool stream_gap_ = false;
-  bool foreign_id_ = false;
+  bool foreign_call_id_ = false;
   Clock::time_point sent_at_;
   int64_t start_us_ = 0;
 };
--- a/libs/gateway/include/turmeric/gateway/store_service.h
+++ b/libs/gateway/include/turmeric/gateway/store_service.h
@@ -10,10 +10,10 @@
 
 namespace turmeric::gateway {
 
-/** Service "store": the platform's object API as this instance reaches it. */
+/** Service "store": access of this instance to the platform's object API. */
 class StoreService : public kernel::Service {
  public:
-  /** @param store the store: the platform's, or the embedded stand-in. */
+  /** @param store the platform's store or the embedded stand-in. */
   explicit StoreService(std::shared_ptr<store::ObjectStore> store)
       : store_(std::move(store)), executor_(kThreads) {}
   std::string_view name() const override { return "store"; }
@@ -22,11 +22,14 @@
   }
   /** @return the object API; its calls block. */
   store::ObjectStore& store() { return *store_; }
-  /** @return runs blocking store calls off the event loop. */
+  /** @return executor that runs blocking store calls off the event loop. */
   store::StoreExecutor& executor() { return executor_; }
 
  private:
-  /** At 4 ms a call, 8 threads make 2,000 calls/s: the whole fleet's reads. */
+  /**
+   * At 4 ms per call, 8 threads complete 2,000 calls/s, enough for the reads of
+   * the whole fleet.
+   */
   static constexpr int kThreads = 8;
 
   std::shared_ptr<store::ObjectStore> store_;
--- a/libs/gateway/include/turmeric/gateway/upstream_pool.h
+++ b/libs/gateway/include/turmeric/gateway/upstream_pool.h
@@ -11,41 +11,44 @@
 
 namespace turmeric::gateway {
 
-/** A member of a pool; its state is shared by every pool it is in. */
+/** A member of a pool; its state is shared by all pools that contain it. */
 using UpstreamRef = std::shared_ptr<UpstreamState>;
 
-/** The upstreams of one pool of one business, and the choice among them. */
+/** The upstreams of one pool of one business, and the selection among them. */
 class UpstreamPool {
  public:
   /** @param members the pool's upstreams, in settings order. */
   void SetMembers(std::vector<UpstreamRef> members);
   /**
-   * Chooses where a call goes. A leaving upstream is never chosen; ejected
-   * ones and `exclude` only if nothing else is left.
+   * Selects the upstream of a call. A leaving upstream is never selected;
+   * ejected upstreams and `exclude` only if no other upstream is left.
    * @param policy routing policy.
    * @param rng random source (seeded by the caller).
-   * @param now the time.
+   * @param now current time.
    * @param exclude the upstream that just failed, or nullptr.
-   * @return the choice, or nullptr if every member is leaving.
+   * @return the selected upstream, or nullptr if every member is leaving.
    */
   UpstreamRef Pick(RoutingPolicy policy, std::mt19937_64& rng,
                    Clock::time_point now,
                    const UpstreamState* exclude = nullptr);
   /** @return members, in settings order. */
   std::span<const UpstreamRef> members() const { return members_; }
-  /** @return this pool's retries allowance. */
+  /** @return budget for retries in this pool. */
   RetryBudget& retry_budget() { return retry_budget_; }
-  /** @return this pool's hedges allowance. */
+  /** @return budget for hedged calls in this pool. */
   RetryBudget& hedge_budget() { return hedge_budget_; }
-  /** @return the pool's 95th latency percentile: when to hedge. */
+  /**
+   * @return estimate of the pool's 95th latency percentile, after which a call
+   *     is hedged.
+   */
   LatencyQuantile& hedge_delay() { return hedge_delay_; }
 
  private:
   static constexpr double kHedgeQuantile = 0.95;
 
   std::vector<UpstreamRef> members_;
-  std::vector<const UpstreamRef*> eligible_;  ///< Reused between picks.
-  size_t next_ = 0;
+  std::vector<const UpstreamRef*> eligible_;  ///< Buffer reused by Pick.
+  size_t next_round_robin_ = 0;
   RetryBudget retry_budget_;
   RetryBudget hedge_budget_;
   LatencyQuantile hedge_delay_{kHedgeQuantile};
--- a/libs/gateway/include/turmeric/gateway/upstream_pools.h
+++ b/libs/gateway/include/turmeric/gateway/upstream_pools.h
@@ -10,20 +10,21 @@
 namespace turmeric::gateway {
 
 /**
- * Every pool this instance routes to, kept in step with the settings. A pool
- * belongs to one business; an upstream's state is kept once per address.
+ * All pools this instance routes to, updated from the resolved settings. A pool
+ * belongs to one business; the state of an upstream is kept once per address.
  */
 class UpstreamPools {
  public:
   /**
-   * @param business the business whose pool is meant.
-   * @param stage a stage as resolved; its upstream list is applied.
-   * @return the pool serving it.
+   * @param business business that owns the pool.
+   * @param stage a resolved stage; the pool is updated to its upstream list.
+   * @return the pool that serves the stage.
    */
-  UpstreamPool& For(std::string_view business, const config::StageSpec& stage);
+  UpstreamPool& PoolFor(std::string_view business,
+                        const config::StageSpec& stage);
   /**
-   * Applies the platform's instance list.
-   * @param address an upstream, known yet or not.
+   * Applies an entry of the platform's instance list.
+   * @param address address of an upstream; need not be in a pool yet.
    * @param leaving its state in the list.
    */
   void SetLeaving(std::string_view address, bool leaving);
@@ -31,9 +32,9 @@
  private:
   struct Pool {
     UpstreamPool pool;
-    std::vector<std::string> applied;  ///< Addresses the members came from.
+    std::vector<std::string> applied_addresses;  ///< Sources of the members.
   };
-  UpstreamRef Upstream(std::string_view address);
+  UpstreamRef FindOrCreateUpstream(std::string_view address);
 
   std::map<std::string, Pool, std::less<>> pools_;
   std::map<std::string, UpstreamRef, std::less<>> upstreams_;
--- a/libs/gateway/include/turmeric/gateway/upstream_state.h
+++ b/libs/gateway/include/turmeric/gateway/upstream_state.h
@@ -6,68 +6,82 @@
 
 namespace turmeric::gateway {
 
-/** The clock upstream state is kept by. */
+/** Clock of all times in the upstream state. */
 using Clock = std::chrono::steady_clock;
 
-/** How a stage picks among its pool's upstreams. */
+/** How a stage selects among its pool's upstreams. */
 enum class RoutingPolicy {
-  kPowerOfTwo,      ///< Two random upstreams, the shorter queue wins.
-  kPowerOfTwoEwma,  ///< Two random upstreams, least queue × latency wins.
-  kRoundRobin,      ///< The baseline: next upstream in turn.
+  kPowerOfTwo,      ///< Two random upstreams; the shorter queue wins.
+  kPowerOfTwoEwma,  ///< Two random upstreams; the least queue × latency wins.
+  kRoundRobin,      ///< The upstreams in turn; the baseline for comparisons.
 };
 
-/** How one call to an upstream ended. */
+/** Outcome of one call to an upstream. */
 enum class CallResult {
-  kOk,              ///< Whole answer, with this call's own id.
-  kRefusedLeaving,  ///< Refused unrun: the upstream is leaving.
-  kNotSent,         ///< No connection was made: certainly not run.
+  kOk,              ///< Complete answer with this call's id.
+  kRefusedLeaving,  ///< Refused without running: the upstream is leaving.
+  kNotSent,         ///< Connection refused: certainly not run.
   kFailed,          ///< An error after sending; may have run.
-  kMisdelivered,    ///< The answer carried another call's id; dropped.
-  kCancelled,       ///< We gave it up (hedge lost, caller gone, deadline).
+  kMisdelivered,    ///< The answer carried another call's id and was dropped.
+  kCancelled,       ///< Cancelled here (hedge, disconnect, deadline).
 };
 
-/** @param result a call's end. @return true if the upstream ran nothing. */
+/**
+ * @param result outcome of a call.
+ * @return true if the upstream certainly ran nothing.
+ */
 constexpr bool CertainlyNotRun(CallResult result) {
   return result == CallResult::kRefusedLeaving ||
          result == CallResult::kNotSent;
 }
 
-/** What one call tells about its upstream. */
+/** Observations of one call about its upstream. */
 struct CallReport {
   CallResult result = CallResult::kOk;
-  double ms = 0;            ///< Time from send to the end.
-  int reported_depth = -1;  ///< Queue depth it reported, or -1.
+  double ms = 0;  ///< Elapsed time from the send to the end of the call.
+  int reported_depth = -1;  ///< Queue depth reported in the answer, or -1.
 };
 
-/** What one entry instance knows of one upstream, whoever's pool it is in. */
+/**
+ * State of one upstream as observed by this entry instance, shared by all pools
+ * that contain the upstream.
+ */
 struct UpstreamState {
-  std::string address;             ///< "ip:port".
-  int inflight = 0;                ///< Our calls now open to it.
-  int reported_depth = 0;          ///< Its last (lagged) queue-depth report.
-  double latency_ms = 0;           ///< Moving average; 0: no sample yet.
-  Clock::time_point latency_at;    ///< When latency_ms was last sampled.
-  bool listed_leaving = false;     ///< The instance list says leaving.
-  Clock::time_point refuses_till;  ///< It refused as leaving; trusted so long.
-  int failures = 0;                ///< Calls failed in a row.
-  Clock::time_point ejected_till;  ///< No calls before, after failures.
-  int64_t picks = 0;               ///< Calls sent, for the operator.
+  std::string address;     ///< "ip:port".
+  int inflight = 0;        ///< Calls of this instance in flight to it.
+  int reported_depth = 0;  ///< Last queue depth it reported; lags.
+  double latency_ms = 0;   ///< Exponential moving average; 0: no sample yet.
+  Clock::time_point latency_sampled_at;  ///< Last update of latency_ms.
+  bool listed_leaving = false;      ///< The instance list marks it as leaving.
+  Clock::time_point refused_until;  ///< Leaving until then, after a refusal.
+  int failures = 0;                 ///< Consecutive failed calls.
+  Clock::time_point ejected_until;  ///< No calls until then, after failures.
+  int64_t calls_sent = 0;           ///< Total calls sent, for operators.
 };
 
-/** @param upstream one a call is being sent to. */
+/**
+ * Records that a call is sent.
+ * @param upstream destination of the call.
+ */
 void OnSend(UpstreamState& upstream);
 /**
- * @param upstream the one the call went to.
- * @param report how the call ended. @param now the time.
+ * Records the end of a call.
+ * @param upstream destination of the call.
+ * @param report outcome of the call.
+ * @param now current time.
  */
 void OnReport(UpstreamState& upstream, const CallReport& report,
               Clock::time_point now);
-/** @return true if it must get no new work: it is leaving. */
+/**
+ * @return true if the upstream must receive no new calls because it is leaving.
+ */
 bool IsLeaving(const UpstreamState& upstream, Clock::time_point now);
-/** @return true while it is ejected for failing call after call. */
+/** @return true while the upstream is ejected after consecutive failures. */
 bool IsEjected(const UpstreamState& upstream, Clock::time_point now);
 /**
- * @param upstream an upstream. @param now the time.
- * @return its latency, trusted less the older the sample is, ms.
+ * @param upstream an upstream.
+ * @param now current time.
+ * @return its latency in ms, decayed exponentially with the age of the sample.
  */
 double DecayedLatencyMs(const UpstreamState& upstream, Clock::time_point now);
 
--- a/libs/gateway/src/answer_json.cc
+++ b/libs/gateway/src/answer_json.cc
@@ -13,17 +13,17 @@
 
 namespace {
 
-QString Text(std::string_view s) {
+QString ToQString(std::string_view s) {
   return QString::fromUtf8(s.data(), s.size());
 }
 
-/** What every answer to a run states. */
-QJsonObject Head(std::string_view request_id, Errc code, RunState state,
-                 int retry_after_ms) {
-  QJsonObject o{{"request_id", Text(request_id)},
-                {"state", Text(utils::RunStateName(state))},
+/** @return the fields common to all answers. */
+QJsonObject CommonFields(std::string_view request_id, Errc code, RunState state,
+                         int retry_after_ms) {
+  QJsonObject o{{"request_id", ToQString(request_id)},
+                {"state", ToQString(utils::RunStateName(state))},
                 {"code", static_cast<int>(code)},
-                {"error", Text(utils::ErrcName(code))}};
+                {"error", ToQString(utils::ErrcName(code))}};
   if (retry_after_ms >= 0) o["retry_after_ms"] = retry_after_ms;
   return o;
 }
@@ -33,8 +33,8 @@
 QByteArray ErrorJson(std::string_view request_id, Errc code,
                      std::string_view detail, RunState state,
                      int retry_after_ms) {
-  QJsonObject o = Head(request_id, code, state, retry_after_ms);
-  o["detail"] = Text(detail);
+  QJsonObject o = CommonFields(request_id, code, state, retry_after_ms);
+  o["detail"] = ToQString(detail);
   return QJsonDocument(o).toJson(QJsonDocument::Compact);
 }
 
@@ -44,19 +44,20 @@
   QJsonArray stages;
   for (const StageRecord& r : answer.stages) {
     constexpr double kMsPerSecond = 1000.0;
-    stages.append(QJsonObject{{"stage", Text(r.stage)},
-                              {"upstream", Text(r.upstream)},
+    stages.append(QJsonObject{{"stage", ToQString(r.stage)},
+                              {"upstream", ToQString(r.upstream)},
                               {"ms", r.seconds * kMsPerSecond},
                               {"tokens", r.tokens},
                               {"attempts", r.attempts}});
   }
-  QJsonObject o = Head(request_id, answer.code, answer.state, retry_after_ms);
-  o["business"] = Text(settings.business);
-  o["pipeline"] = Text(settings.pipeline);
-  o["organisation"] = Text(settings.organisation);
-  o["output"] = Text(answer.output);
+  QJsonObject o =
+      CommonFields(request_id, answer.code, answer.state, retry_after_ms);
+  o["business"] = ToQString(settings.business);
+  o["pipeline"] = ToQString(settings.pipeline);
+  o["organisation"] = ToQString(settings.organisation);
+  o["output"] = ToQString(answer.output);
   o["stages"] = stages;
-  if (!answer.detail.empty()) o["detail"] = Text(answer.detail);
+  if (!answer.detail.empty()) o["detail"] = ToQString(answer.detail);
   return QJsonDocument(o).toJson(QJsonDocument::Compact);
 }
 
--- a/libs/gateway/src/claim.cc
+++ b/libs/gateway/src/claim.cc
@@ -11,9 +11,9 @@
                          std::string_view organisation,
                          std::string_view pipeline,
                          std::string_view idempotency_key) {
-  // Guard: kept per business alone, two organisations that both number their
-  // notices from 1 shared a claim, and one was handed the other's answer.
-  // Encoding the parts holds against a "/" inside one of them.
+  // Guard: with keys scoped by business alone, two organisations that both
+  // number their notices from 1 share a claim, and one receives the answer of
+  // the other. Percent-encoding keeps the name unique if a part contains a "/".
   std::string out;
   for (std::string_view part :
        {business, organisation, pipeline, idempotency_key}) {
--- a/libs/gateway/src/claim_table.cc
+++ b/libs/gateway/src/claim_table.cc
@@ -17,8 +17,8 @@
 using utils::Errc;
 
 namespace {
-/** Store round trips spent on finding out what an unclear write did. */
-constexpr int kResolveAttempts = 3;
+/** Attempts to write a claim and, if the result is unclear, to read it back. */
+constexpr int kMaxWriteAttempts = 3;
 constexpr size_t kTokenDigits = 24;
 }  // namespace
 
@@ -26,9 +26,10 @@
     : store_(store), instance_(std::move(instance)) {}
 
 std::string ClaimTable::NewToken() const {
-  // Guard: a token must be unlike any other attempt's, also those of this
-  // instance before a restart. Name and counter repeat after a restart: the
-  // dead predecessor's claim then looked like our own and ran again.
+  // Guard: tokens must be unique across all attempts, including those of this
+  // instance before a restart. A token made of name and counter repeats after a
+  // restart: the claim of the previous process start then looks like the claim
+  // of this one, and the request runs twice.
   return instance_ + "#" + utils::RandomHex(kTokenDigits);
 }
 
@@ -36,83 +37,91 @@
   Claim claim;
   claim.subject = subject;
   auto got = store_.Get(subject.key);
-  if (got) return Judge(std::move(claim), got.value());
+  if (got) return ClassifyRecord(std::move(claim), got.value());
   claim.state = got.error().code == Errc::kStoreNotFound
                     ? ClaimState::kFree
-                    : ClaimState::kStoreDown;
+                    : ClaimState::kStoreUnreachable;
   return claim;
 }
 
-/** @return `mine` with the state that the stored record gives it. */
-Claim ClaimTable::Judge(Claim mine, const store::StoredObject& found) {
+/** @return `own_claim`, with its state set from the stored record. */
+Claim ClaimTable::ClassifyRecord(Claim own_claim,
+                                 const store::StoredObject& found) {
   const ClaimRecord record = DecodeClaim(found.value);
   if (record.phase == ClaimPhase::kReleased) {
-    mine.state = ClaimState::kFree;
-    mine.version = found.version;
-  } else if (record.fingerprint != mine.subject.fingerprint) {
-    mine.state = ClaimState::kOtherRequest;
+    own_claim.state = ClaimState::kFree;
+    own_claim.version = found.version;
+  } else if (record.fingerprint != own_claim.subject.fingerprint) {
+    own_claim.state = ClaimState::kKeyReused;
   } else if (record.phase == ClaimPhase::kDone) {
-    mine.state = ClaimState::kDone;
-    mine.result = record.result;
+    own_claim.state = ClaimState::kDone;
+    own_claim.result = record.result;
     std::lock_guard lock(mu_);
     ++counts_.replayed;
-  } else if (!mine.token.empty() && record.token == mine.token) {
-    // Guard: the store applied our write but lost its answer. Without this
-    // the caller would be told nothing ran while the claim is ours, and
-    // every retry would find it held for ever.
-    mine.state = ClaimState::kOwned;
-    mine.version = found.version;
+  } else if (!own_claim.token.empty() && record.token == own_claim.token) {
+    // Guard: the store applied the write of this attempt but its answer was
+    // lost. Without this check the caller would receive "not run" while this
+    // attempt holds the claim, and every retry would find the key claimed until
+    // the claim is swept.
+    own_claim.state = ClaimState::kOwned;
+    own_claim.version = found.version;
     std::lock_guard lock(mu_);
     ++counts_.lost_answers_resolved;
   } else {
-    mine.state = ClaimState::kInFlightElsewhere;
+    own_claim.state = ClaimState::kInFlightElsewhere;
   }
-  return mine;
+  return own_claim;
 }
 
-Claim ClaimTable::Acquire(const Claim& seen, int64_t keep_until_unix_ms) {
-  Claim mine = seen;
-  mine.token = NewToken();
+Claim ClaimTable::Acquire(const Claim& observed, int64_t keep_until_unix_ms) {
+  Claim own_claim = observed;
+  own_claim.token = NewToken();
   const std::string value =
-      EncodeClaim({ClaimPhase::kClaimed, mine.token, instance_,
-                   seen.subject.fingerprint, keep_until_unix_ms, ""});
-  Claim claim = Resolve(std::move(mine), value);
+      EncodeClaim({ClaimPhase::kClaimed, own_claim.token, instance_,
+                   observed.subject.fingerprint, keep_until_unix_ms, ""});
+  Claim claim = WriteClaim(std::move(own_claim), value);
   std::lock_guard lock(mu_);
   if (claim.state == ClaimState::kOwned) ++counts_.acquired;
   return claim;
 }
 
-/** Writes `value` if the key is as `mine.version` has it, until it is clear
- * whose it is. */
-Claim ClaimTable::Resolve(Claim mine, const std::string& value) {
-  const int64_t expected = mine.version;  // kAbsent, or a released record
-  for (int i = 0; i < kResolveAttempts; ++i) {
-    auto put = store_.Put(mine.subject.key, value, expected);
+/**
+ * Writes `value` on condition that the key still has version
+ * `own_claim.version`. Retries until the owner of the claim is certain, at most
+ * kMaxWriteAttempts times in all.
+ */
+Claim ClaimTable::WriteClaim(Claim own_claim, const std::string& value) {
+  const int64_t expected = own_claim.version;  // kAbsent, or a released record
+  for (int i = 0; i < kMaxWriteAttempts; ++i) {
+    auto put = store_.Put(own_claim.subject.key, value, expected);
     if (put) {
-      mine.state = ClaimState::kOwned;
-      mine.version = put.value().version;
-      return mine;
+      own_claim.state = ClaimState::kOwned;
+      own_claim.version = put.value().version;
+      return own_claim;
     }
-    // A conflict or an answer not to be trusted: the store's state decides.
-    auto got = store_.Get(mine.subject.key);
+    // The write conflicted or its outcome is unknown: the stored record
+    // decides.
+    auto got = store_.Get(own_claim.subject.key);
     if (!got) continue;
-    mine = Judge(std::move(mine), got.value());
-    if (mine.state != ClaimState::kFree) return mine;
-    if (mine.version != expected) {
-      // Guard: another attempt held the key since this one began, did not run
-      // and told its caller so. Running now would make that untrue.
-      mine.state = ClaimState::kInFlightElsewhere;
-      return mine;
+    own_claim = ClassifyRecord(std::move(own_claim), got.value());
+    if (own_claim.state != ClaimState::kFree) return own_claim;
+    if (own_claim.version != expected) {
+      // Guard: another attempt has held the key since this one began, did not
+      // run, and answered "not run" to its caller. Running now would make that
+      // answer false.
+      own_claim.state = ClaimState::kInFlightElsewhere;
+      return own_claim;
     }
   }
-  // Unknown whether our write applied, or will. Nothing was sent; a release
-  // is kept so that a claim we may hold does not block the caller's retry.
-  mine.state = ClaimState::kStoreDown;
-  Keep({mine, "", 0, true});
-  return mine;
+  // It is unknown whether the write was applied or will be. No call was sent. A
+  // release is queued, so that a claim this attempt may hold does not block the
+  // caller's retry.
+  own_claim.state = ClaimState::kStoreUnreachable;
+  AddPending({own_claim, "", 0, true});
+  return own_claim;
 }
 
-bool ClaimTable::TryComplete(const Pending& p) {
+bool ClaimTable::TryComplete(const PendingWrite& p) {
   const std::string value = EncodeClaim({ClaimPhase::kDone, p.claim.token,
                                          instance_, p.claim.subject.fingerprint,
                                          p.keep_until_unix_ms, p.result});
@@ -124,39 +133,41 @@
   }
   auto got = store_.Get(p.claim.subject.key);
   if (!got) return got.error().code == Errc::kStoreNotFound;  // swept
-  // A lost answer: the write is there if the record is ours and done.
+  // If the answer was lost, the write was applied if the record is done. A
+  // record with another token is no longer owned by this attempt.
   const ClaimRecord record = DecodeClaim(got.value().value);
   return record.token != p.claim.token || record.phase == ClaimPhase::kDone;
 }
 
 bool ClaimTable::Complete(const Claim& claim, std::string_view result,
                           int64_t keep_until_unix_ms) {
-  Pending p{claim, std::string(result), keep_until_unix_ms, false};
+  PendingWrite p{claim, std::string(result), keep_until_unix_ms, false};
   if (TryComplete(p)) return true;
-  Keep(std::move(p));
+  AddPending(std::move(p));
   return false;
 }
 
 bool ClaimTable::TryRelease(const Claim& claim) {
-  constexpr int64_t kKeepReleasedMs = 600'000;
+  constexpr int64_t kReleasedRetentionMs = 600'000;
   constexpr int64_t kMicrosPerMs = 1000;
   const std::string released = EncodeClaim(
       {ClaimPhase::kReleased, claim.token, instance_, claim.subject.fingerprint,
-       utils::NowUnixMicros() / kMicrosPerMs + kKeepReleasedMs, ""});
+       utils::NowUnixMicros() / kMicrosPerMs + kReleasedRetentionMs, ""});
   auto got = store_.Get(claim.subject.key);
   if (!got && got.error().code != Errc::kStoreNotFound) return false;
   int64_t expected = store::kAbsent;
   if (got) {
     const ClaimRecord record = DecodeClaim(got.value().value);
-    // Only our own, never-run claim is released; anything else is left be.
+    // Releases only a claim that this attempt holds and has not run; any other
+    // record stays unchanged.
     if (record.token != claim.token || record.phase != ClaimPhase::kClaimed) {
       return true;
     }
     expected = got.value().version;
   }
-  // Guard: a create that timed out may still apply after this read found
-  // nothing, and would then hold the key for ever. Writing "released" in its
-  // place makes the late create fail its precondition.
+  // Guard: a create that timed out may be applied after this read found
+  // nothing, and would then hold the key until the claim is swept. With a
+  // "released" record in its place the late create fails its precondition.
   if (!store_.Put(claim.subject.key, released, expected)) return false;
   std::lock_guard lock(mu_);
   ++counts_.released;
@@ -164,32 +175,32 @@
 }
 
 void ClaimTable::Release(const Claim& claim) {
-  if (!TryRelease(claim)) Keep({claim, "", 0, true});
+  if (!TryRelease(claim)) AddPending({claim, "", 0, true});
 }
 
-void ClaimTable::Keep(Pending p) {
+void ClaimTable::AddPending(PendingWrite p) {
   std::lock_guard lock(mu_);
   pending_.push_back(std::move(p));
 }
 
-void ClaimTable::Recover() {
-  std::vector<Pending> work;
+void ClaimTable::RetryPendingClaims() {
+  std::vector<PendingWrite> writes;
   {
     std::lock_guard lock(mu_);
-    work.swap(pending_);
+    writes.swap(pending_);
   }
-  std::vector<Pending> again;
+  std::vector<PendingWrite> still_pending;
   std::ranges::copy_if(
-      work, std::back_inserter(again), [this](const Pending& p) {
+      writes, std::back_inserter(still_pending), [this](const PendingWrite& p) {
         return p.release ? !TryRelease(p.claim) : !TryComplete(p);
       });
   std::lock_guard lock(mu_);
-  pending_.insert(pending_.end(), again.begin(), again.end());
+  pending_.insert(pending_.end(), still_pending.begin(), still_pending.end());
 }
 
-int ClaimTable::SweepOwn(int64_t now_unix_ms, int most) {
+int ClaimTable::SweepOwn(int64_t now_unix_ms, int max_deletes) {
   int swept = 0;
-  for (int i = 0; i < most; ++i) {
+  for (int i = 0; i < max_deletes; ++i) {
     Completed oldest;
     {
       std::lock_guard lock(mu_);
@@ -200,7 +211,7 @@
       oldest = std::move(completed_.front());
       completed_.pop_front();
     }
-    // One that fails is left to the sweep of all claims.
+    // Claims whose delete fails are deleted by the sweep of all claims.
     if (store_.Delete(oldest.key, oldest.version)) ++swept;
   }
   std::lock_guard lock(mu_);
@@ -208,12 +219,12 @@
   return swept;
 }
 
-utils::Result<int> ClaimTable::Sweep(int64_t now_unix_ms, int most) {
+utils::Result<int> ClaimTable::Sweep(int64_t now_unix_ms, int max_deletes) {
   auto all = store_.List(kClaimPrefix);
   if (!all) return all.error();
   int swept = 0;
   for (const store::StoredObject& o : all.value().objects) {
-    if (swept == most) break;
+    if (swept == max_deletes) break;
     const ClaimRecord record = DecodeClaim(o.value);
     if (record.phase == ClaimPhase::kMalformed ||
         record.keep_until_unix_ms >= now_unix_ms) {
--- a/libs/gateway/src/config_handler.cc
+++ b/libs/gateway/src/config_handler.cc
@@ -48,12 +48,15 @@
       AnswerHeaders("", utils::RetryAfterMs(error.code)));
 }
 
-/** @return a level's key ends where its name does; a prefix ends in "/". */
+/**
+ * @return true for a prefix, which ends in "/"; the key of a level does not.
+ */
 bool IsPrefix(const std::string& key) { return key.ends_with('/'); }
 
 /**
- * Writes a level under its version precondition, and finds out what became
- * of the write if its answer was lost.
+ * Writes a level on condition that its version is `expected`. If the store's
+ * answer is lost, reads the level back to find out whether the write was
+ * applied.
  */
 utils::Result<StoredObject> WriteLevel(store::ObjectStore& store,
                                        const std::string& key,
@@ -61,9 +64,9 @@
                                        int64_t expected) {
   auto put = store.Put(key, text, expected);
   if (put || put.error().code != Errc::kStoreAnswerLost) return put;
-  // Guard: the write may have taken effect although its answer was lost. Told
-  // "unavailable", the operator would write again and get a conflict with
-  // their own change. The level as stored decides.
+  // Guard: the write may have been applied although its answer was lost. After
+  // an "unavailable" error the operator would write again and get a conflict
+  // with their own change.
   auto got = store.Get(key);
   if (got && got.value().value == text && got.value().version == expected + 1) {
     return got;
@@ -75,28 +78,29 @@
 
 void ConfigHandler::HandleGet(const QHttpServerRequest& request,
                               http::Responder&& responder) {
-  auto held = std::make_shared<http::Responder>(std::move(responder));
+  auto shared_responder =
+      std::make_shared<http::Responder>(std::move(responder));
   const std::string key = StoreKey(request);
   if (IsPrefix(key)) {
     store_.executor().Run(
         this, [this, key] { return store_.store().List(key); },
-        [held](const utils::Result<store::ObjectList>& list) {
-          if (!list) return WriteError(*held, list.error());
+        [shared_responder](const utils::Result<store::ObjectList>& list) {
+          if (!list) return WriteError(*shared_responder, list.error());
           QJsonArray items;
           for (const StoredObject& o : list.value().objects) {
             items.append(ObjectJson(o));
           }
-          WriteObject(*held, {{"items", items}});
+          WriteObject(*shared_responder, {{"items", items}});
         });
     return;
   }
   store_.executor().Run(
       this, [this, key] { return store_.store().Get(key); },
-      [held](const utils::Result<StoredObject>& got) {
-        if (!got) return WriteError(*held, got.error());
+      [shared_responder](const utils::Result<StoredObject>& got) {
+        if (!got) return WriteError(*shared_responder, got.error());
         QJsonObject o = ObjectJson(got.value());
         o["value"] = QString::fromStdString(got.value().value);
-        WriteObject(*held, o);
+        WriteObject(*shared_responder, o);
       });
 }
 
@@ -109,7 +113,7 @@
           .split('/');
   if (parts.size() != 3) {
     WriteError(responder, {Errc::kBadRequest,
-                           "want /v1/resolved/<business>/<pipeline>/"
+                           "path must be /v1/resolved/<business>/<pipeline>/"
                            "<organisation>"});
     return;
   }
@@ -138,39 +142,41 @@
 
 void ConfigHandler::HandlePut(const QHttpServerRequest& request,
                               http::Responder&& responder) {
-  auto held = std::make_shared<http::Responder>(std::move(responder));
+  auto shared_responder =
+      std::make_shared<http::Responder>(std::move(responder));
   bool versioned = false;
   const int64_t expected = request.value("if-match").toLongLong(&versioned);
-  // Guard: racing operators. Without a version precondition the second
-  // writer silently overwrites the first; requiring If-Match makes the
-  // loser see config_version_conflict and re-read.
+  // Guard: concurrent operators. Without a version precondition the second
+  // writer silently overwrites the first; with If-Match the second writer
+  // receives config_version_conflict and can read the level again.
   if (!versioned || expected < 0) {
-    WriteError(*held, {Errc::kConfigVersionConflict,
-                       "If-Match: <version> required (0 to create)"});
+    WriteError(*shared_responder,
+               {Errc::kConfigVersionConflict,
+                "If-Match: <version> required (0 to create)"});
     return;
   }
   auto layer = config::ParseLayer(request.body().toStdString());
   if (!layer) {
-    WriteError(*held, layer.error());
+    WriteError(*shared_responder, layer.error());
     return;
   }
   store_.executor().Run(
       this,
       [this, key = StoreKey(request), text = config::RenderLayer(layer.value()),
        expected] { return WriteLevel(store_.store(), key, text, expected); },
-      [held](const utils::Result<StoredObject>& put) {
+      [shared_responder](const utils::Result<StoredObject>& put) {
         if (!put) {
           utils::Error error = put.error();
           if (error.code == Errc::kStoreConflict) {
             error.code = Errc::kConfigVersionConflict;
           }
-          WriteError(*held, error);
+          WriteError(*shared_responder, error);
           return;
         }
         LOG(INFO) << "event=config_accepted key=" << put.value().key
                   << " version=" << put.value().version
                   << " revision=" << put.value().revision;
-        WriteObject(*held, ObjectJson(put.value()));
+        WriteObject(*shared_responder, ObjectJson(put.value()));
       });
 }
 
--- a/libs/gateway/src/details/claim_record.cc
+++ b/libs/gateway/src/details/claim_record.cc
@@ -16,7 +16,7 @@
     {ClaimPhase::kReleased, "released"},
 }};
 
-std::string Text(const QJsonObject& o, const char* field) {
+std::string StringField(const QJsonObject& o, const char* field) {
   return o.value(QLatin1String(field)).toString().toStdString();
 }
 
@@ -38,15 +38,15 @@
 ClaimRecord DecodeClaim(std::string_view text) {
   const auto o =
       QJsonDocument::fromJson(QByteArray(text.data(), text.size())).object();
-  const std::string name = Text(o, "state");
+  const std::string name = StringField(o, "state");
   const auto phase = std::ranges::find_if(
       kPhaseNames, [&](const auto& entry) { return name == entry.second; });
   return {phase == kPhaseNames.end() ? ClaimPhase::kMalformed : phase->first,
-          Text(o, "token"),
-          Text(o, "instance"),
-          Text(o, "fingerprint"),
+          StringField(o, "token"),
+          StringField(o, "instance"),
+          StringField(o, "fingerprint"),
           static_cast<int64_t>(o.value("keep_until_unix_ms").toDouble()),
-          Text(o, "result")};
+          StringField(o, "result")};
 }
 
 }  // namespace turmeric::gateway::details
--- a/libs/gateway/src/details/claim_record.h
+++ b/libs/gateway/src/details/claim_record.h
@@ -6,27 +6,34 @@
 
 namespace turmeric::gateway::details {
 
-/** Where a claim stands. */
+/** Phase of a claim. */
 enum class ClaimPhase {
-  kMalformed,  ///< Not a claim record; treated as held by another.
-  kClaimed,    ///< Its owner may have sent the non-idempotent call.
+  kMalformed,  ///< Not a claim record; treated as held by another attempt.
+  kClaimed,    ///< The owner may have sent the non-idempotent call.
   kDone,       ///< `result` holds the answer.
-  kReleased,   ///< Certainly not run; free to be claimed.
+  kReleased,   ///< Certainly not run; may be claimed again.
 };
 
-/** The value of a claim object in the store. */
+/** Value of a claim object in the store. */
 struct ClaimRecord {
   ClaimPhase phase = ClaimPhase::kMalformed;
   std::string token;
-  std::string instance;  ///< For the operator.
+  std::string instance;  ///< Informational, for operators.
   std::string fingerprint;
   int64_t keep_until_unix_ms = 0;
   std::string result;
 };
 
-/** @param r record. @return JSON text. */
+/**
+ * @param r the record.
+ * @return its JSON text.
+ */
 std::string EncodeClaim(const ClaimRecord& r);
-/** @param text JSON text. @return the record; kMalformed if it is none. */
+/**
+ * @param text JSON text.
+ * @return the record; its phase is kMalformed if the text is not a claim
+ *     record.
+ */
 ClaimRecord DecodeClaim(std::string_view text);
 
 }  // namespace turmeric::gateway::details
--- a/libs/gateway/src/drain_step.cc
+++ b/libs/gateway/src/drain_step.cc
@@ -8,21 +8,25 @@
 
 namespace {
 
-/** Time for the final answers and the claims given up with them to go out:
- * two round trips of 250 ms, to a caller far away or a slow store. Of a short
- * drain timeout, half. */
-constexpr milliseconds kFinalAnswers{500};
+/**
+ * Time reserved for sending the final answers and writing the releases of their
+ * claims: two round trips of 250 ms to a distant caller or a slow store. At
+ * most half of the drain timeout.
+ */
+constexpr milliseconds kFinalAnswerTime{500};
 
 }  // namespace
 
-DrainStep NextDrainStep(const DrainView& view) {
-  if (view.since_begin < view.grace) return DrainStep::kServe;
-  const milliseconds waited = view.since_begin - view.grace;
-  const bool done = !view.work_open && !view.unsent;
-  if (done || waited >= view.timeout) return DrainStep::kExit;
-  const milliseconds kept = std::min(kFinalAnswers, view.timeout / 2);
-  return waited >= view.timeout - kept ? DrainStep::kAnswerOpen
-                                       : DrainStep::kFinish;
+DrainStep NextDrainStep(const DrainStatus& status) {
+  if (status.elapsed < status.grace) return DrainStep::kServe;
+  const milliseconds since_grace = status.elapsed - status.grace;
+  const bool done = !status.work_in_flight && !status.answers_unsent;
+  if (done || since_grace >= status.timeout) return DrainStep::kExit;
+  const milliseconds answer_time =
+      std::min(kFinalAnswerTime, status.timeout / 2);
+  return since_grace >= status.timeout - answer_time
+             ? DrainStep::kAnswerRemaining
+             : DrainStep::kDrainInFlight;
 }
 
 }  // namespace turmeric::gateway
--- a/libs/gateway/src/embedded_platform.cc
+++ b/libs/gateway/src/embedded_platform.cc
@@ -28,7 +28,8 @@
 }
 
 uint16_t EmbeddedPlatform::NextPort() {
-  // Port 0 asks the kernel for free ports (tests, in-process benches).
+  // With port 0 the operating system assigns a free port (for tests and
+  // in-process benchmarks).
   return next_port_ == 0 ? 0 : next_port_++;
 }
 
@@ -40,7 +41,7 @@
   store::ObjectStore& store = store_service->store();
   store_ = &store;
   std::string failed;
-  auto engines = [&](int n) {
+  auto start_engines = [&](int n) {
     std::string list;
     for (int i = 0; i < n; ++i) {
       auto e = std::make_unique<standins::EngineStandin>();
@@ -53,7 +54,7 @@
     }
     return list;
   };
-  auto services = [&](int n, double delay_ms) {
+  auto start_services = [&](int n, double delay_ms) {
     std::string list;
     for (int i = 0; i < n; ++i) {
       auto s = std::make_unique<standins::ServiceStandin>(delay_ms);
@@ -65,17 +66,18 @@
     }
     return list;
   };
-  auto pools = [&](const std::string& engine_pool,
-                   const std::string& service_pool) {
-    // One statement a pool: the operands of one long sum may be evaluated
-    // in any order, and experiments name stand-ins by their position.
+  auto pool_settings = [&](const std::string& engine_pool,
+                           const std::string& service_pool) {
+    // One statement per pool: the operands of a single expression may be
+    // evaluated in any order, and experiments address stand-ins by their index.
     std::string text = "pool." + engine_pool + ".kind = engine\n";
-    text += "pool." + engine_pool + ".upstreams = " + engines(3) + "\n";
+    text += "pool." + engine_pool + ".upstreams = " + start_engines(3) + "\n";
     text += "pool." + service_pool + ".kind = service\n";
-    text += "pool." + service_pool + ".upstreams = " + services(3, 3) + "\n";
-    text += "pool.encoder.upstreams = " + services(2, 2) + "\n";
-    text += "pool.retriever.upstreams = " + services(2, 4) + "\n";
-    text += "pool.reranker.upstreams = " + services(2, 3) + "\n";
+    text +=
+        "pool." + service_pool + ".upstreams = " + start_services(3, 3) + "\n";
+    text += "pool.encoder.upstreams = " + start_services(2, 2) + "\n";
+    text += "pool.retriever.upstreams = " + start_services(2, 4) + "\n";
+    text += "pool.reranker.upstreams = " + start_services(2, 3) + "\n";
     return text;
   };
   const std::string rag =
@@ -87,7 +89,7 @@
        "hedge_percent = 10\n"
        "retry_budget_percent = 10\nmin_stage_ms = 5\n"},
       {config::SettingsKey("business", "nilelight", ""),
-       pools("llm", "panel-app")},
+       pool_settings("llm", "panel-app")},
       {config::SettingsKey("pipeline", "nilelight", "translate-notice"),
        "stages = encode,retrieve,rerank,generate\n" + rag +
            "stage.generate.pool = llm\ndeadline_ms = 2000\n"},
@@ -100,7 +102,7 @@
       {config::SettingsKey("organisation", "nilelight", "nile-clinics"),
        "max_inflight = 32\n"},
       {config::SettingsKey("business", "arvoredo", ""),
-       pools("canopy", "crew-portal") + "retry_budget_percent = 5\n"},
+       pool_settings("canopy", "crew-portal") + "retry_budget_percent = 5\n"},
       {config::SettingsKey("pipeline", "arvoredo", "pruning-note"),
        "stages = encode,retrieve,rerank,generate\n" + rag +
            "stage.generate.pool = canopy\n"},
@@ -115,7 +117,8 @@
     return utils::Fail(Errc::kIniInvalid, "cannot listen: " + failed);
   }
   for (const auto& [key, value] : seed) {
-    // Seeding is a conditional create: an operator's newer value stays.
+    // Seeding is a conditional create, so that an operator's newer value is
+    // kept.
     auto put = store.Put(key, value, store::kAbsent);
     if (!put && put.error().code != Errc::kStoreConflict) return put.error();
   }
--- a/libs/gateway/src/embedded_stack.cc
+++ b/libs/gateway/src/embedded_stack.cc
@@ -26,7 +26,7 @@
     s.name = "entry-" + std::to_string(i + 1);
     s.zone = "zone-" + std::string(1, static_cast<char>('a' + i % 3));
     s.listen_port = 0;
-    s.drain_grace_ms = 0;  // no balancer to wait for
+    s.drain_grace_ms = 0;  // no balancer in front
     auto k = std::make_unique<kernel::Kernel>();
     k->Register(std::make_unique<StoreService>(store));
     k->Register(std::make_unique<SettingsService>());
--- a/libs/gateway/src/gateway_service.cc
+++ b/libs/gateway/src/gateway_service.cc
@@ -20,23 +20,30 @@
 
 namespace {
 
-/** Store prefix of the platform's instance list: "upstreams/<ip:port>". */
+/** Store key prefix of the platform's instance list: "upstreams/<ip:port>". */
 constexpr std::string_view kInstanceListPrefix = "upstreams/";
-constexpr std::chrono::milliseconds kRecoverEvery{1000};
-constexpr std::chrono::milliseconds kDrainPollEvery{20};
-/** Time for a request whose caller connected just before the listening socket
- * was closed to arrive and be refused: a round trip in the region. */
-constexpr std::chrono::milliseconds kLastRefusals{100};
-/** Every instance deletes the old claims it completed, this often. */
-constexpr std::chrono::seconds kSweepEvery{60};
-/** One at a time lists all claims for what others left behind: megabytes at
- * a time, so rarely. */
-constexpr std::chrono::hours kSweepAllEvery{6};
-/** Claims deleted at one go: 10/s. */
-constexpr int kSweepMost = 600;
+constexpr std::chrono::milliseconds kClaimRetryInterval{1000};
+constexpr std::chrono::milliseconds kDrainPollInterval{20};
+/**
+ * Time after the listening socket is closed for requests on connections
+ * accepted just before to arrive and be refused: one round trip within the
+ * region.
+ */
+constexpr std::chrono::milliseconds kLastRefusalTime{100};
+/**
+ * Interval at which every instance deletes expired claims that it completed.
+ */
+constexpr std::chrono::seconds kSweepInterval{60};
+/**
+ * Interval at which one instance at a time lists all claims and deletes those
+ * that other instances left. A listing reads megabytes.
+ */
+constexpr std::chrono::hours kSweepAllInterval{6};
+/** Maximum number of claims deleted per sweep; 10/s with kSweepInterval. */
+constexpr int kMaxDeletes = 600;
 constexpr int64_t kSweepLeaseMs = 90'000;
-/** Clocks of instances may differ by this much. */
-constexpr int64_t kClockMarginMs = 300'000;
+/** Maximum clock difference between instances. */
+constexpr int64_t kMaxClockSkewMs = 300'000;
 
 }  // namespace
 
@@ -46,7 +53,7 @@
 GatewayService::~GatewayService() = default;
 
 void GatewayService::Kill() {
-  runs_->Kill();
+  run_handler_->Kill();
   for (QTcpServer* s : server_.servers()) s->close();
   for (QTcpSocket* s : server_.findChildren<QTcpSocket*>()) s->abort();
 }
@@ -56,13 +63,14 @@
   store_ = kernel.Find<StoreService>("store");
   if (!settings_service || !store_) {
     return utils::Fail(Errc::kConfigInvalid,
-                       "gateway needs store and settings");
+                       "service gateway requires services store and settings");
   }
-  members_ = kernel.Find<MembershipService>("membership");
-  runs_ =
+  membership_ = kernel.Find<MembershipService>("membership");
+  run_handler_ =
       std::make_unique<RunHandler>(settings_, settings_service->tree(), *store_,
                                    [this] { return LiveInstances(); });
-  config_ = std::make_unique<ConfigHandler>(*store_, settings_service->tree());
+  config_handler_ =
+      std::make_unique<ConfigHandler>(*store_, settings_service->tree());
   AddRoutes();
   port_ = server_.listen(
       QHostAddress(QString::fromStdString(settings_.listen_address)),
@@ -73,16 +81,18 @@
                            std::to_string(settings_.listen_port));
   }
   WatchInstanceList();
-  sweep_duty_ = std::make_unique<store::DutyLease>(
+  sweep_lease_ = std::make_unique<store::DutyLease>(
       store_->store(), "claim-sweep",
       settings_.name + "#" + utils::RandomHex(16), kSweepLeaseMs);
-  QObject::connect(&recover_, &QTimer::timeout, [this] { runs_->Recover(); });
-  recover_.start(kRecoverEvery);
-  QObject::connect(&sweep_, &QTimer::timeout, [this] { SweepClaims(false); });
-  sweep_.start(kSweepEvery);
-  QObject::connect(&sweep_all_, &QTimer::timeout,
+  QObject::connect(&claim_retry_timer_, &QTimer::timeout,
+                   [this] { run_handler_->RetryPendingClaims(); });
+  claim_retry_timer_.start(kClaimRetryInterval);
+  QObject::connect(&sweep_timer_, &QTimer::timeout,
+                   [this] { SweepClaims(false); });
+  sweep_timer_.start(kSweepInterval);
+  QObject::connect(&sweep_all_timer_, &QTimer::timeout,
                    [this] { SweepClaims(true); });
-  sweep_all_.start(kSweepAllEvery);
+  sweep_all_timer_.start(kSweepAllInterval);
   LOG(INFO) << "event=serving instance=" << settings_.name
             << " zone=" << settings_.zone << " port=" << port_;
   return boost::outcome_v2::success();
@@ -90,27 +100,30 @@
 
 void GatewayService::AddRoutes() {
   using M = QHttpServerRequest::Method;
-  server_.Route(
-      M::Post, std::string(kRunPrefix),
-      [this](const auto& r, auto&& w) { runs_->Handle(r, std::move(w)); });
-  server_.Route(
-      M::Get, std::string(kConfigPath),
-      [this](const auto& r, auto&& w) { config_->HandleGet(r, std::move(w)); });
-  server_.Route(
-      M::Put, std::string(kConfigPath),
-      [this](const auto& r, auto&& w) { config_->HandlePut(r, std::move(w)); });
+  server_.Route(M::Post, std::string(kRunPrefix),
+                [this](const auto& r, auto&& w) {
+                  run_handler_->Handle(r, std::move(w));
+                });
+  server_.Route(M::Get, std::string(kConfigPath),
+                [this](const auto& r, auto&& w) {
+                  config_handler_->HandleGet(r, std::move(w));
+                });
+  server_.Route(M::Put, std::string(kConfigPath),
+                [this](const auto& r, auto&& w) {
+                  config_handler_->HandlePut(r, std::move(w));
+                });
   server_.Route(M::Get, std::string(kResolvedPath),
                 [this](const auto& r, auto&& w) {
-                  config_->HandleResolved(r, std::move(w));
+                  config_handler_->HandleResolved(r, std::move(w));
                 });
   server_.Route(M::Get, "/metrics", [this](const auto&, auto&& w) {
     w.WriteWhole(200, "text/plain; version=0.0.4",
                  QByteArray::fromStdString(metrics().Render()));
   });
   server_.Route(M::Get, "/healthz", [this](const auto&, auto&& w) {
-    const char* state = leaving_         ? "draining"
-                        : runs_->ready() ? "serving"
-                                         : "starting";
+    const char* state = stopping_               ? "draining"
+                        : run_handler_->ready() ? "serving"
+                                                : "starting";
     constexpr int kOk = 200;
     constexpr int kUnavailable = 503;
     http::WriteJson(w,
@@ -125,28 +138,29 @@
 }
 
 void GatewayService::WatchInstanceList() {
-  // The list lags the upstream's own state; our other signal is the
-  // upstream's x-leaving refusal. Whichever comes first stops new work.
+  // The instance list lags the upstream's own state; the other signal is a
+  // refusal with x-leaving by the upstream. The earlier of both stops new
+  // calls.
   instance_list_ = std::make_unique<store::ResumableWatch>(
       store_->store(), std::string(kInstanceListPrefix),
       [this](const store::StoredObject& entry) {
         const std::string address =
             entry.key.substr(kInstanceListPrefix.size());
-        listed_.Note(entry);
+        instance_list_revisions_.Note(entry);
         const bool leaving =
             !entry.deleted && entry.value.find("leaving") != std::string::npos;
-        // Watch events come on a store thread; upstream state belongs to the
+        // Watch callbacks run on a store thread; upstream state belongs to the
         // event loop.
         QMetaObject::invokeMethod(
-            runs_.get(),
+            run_handler_.get(),
             [this, address, leaving] {
-              runs_->pools().SetLeaving(address, leaving);
+              run_handler_->pools().SetLeaving(address, leaving);
               LOG(INFO) << "event=upstream_listed address=" << address
                         << " state=" << (leaving ? "leaving" : "live");
             },
             Qt::QueuedConnection);
       },
-      [this] { return listed_.Held(); });
+      [this] { return instance_list_revisions_.Held(); });
   (void)instance_list_->Arm();
   instance_list_keeper_ = std::make_unique<store::WatchKeeper>(
       *instance_list_, store_->executor(), "instance_list");
@@ -155,26 +169,26 @@
 
 void GatewayService::SweepClaims(bool all) {
   store_->executor().Run(
-      runs_.get(),
+      run_handler_.get(),
       [this, all] {
         constexpr int64_t kMicrosPerMs = 1000;
         const int64_t now = utils::NowUnixMicros() / kMicrosPerMs;
-        if (!all) return claims().SweepOwn(now - kClockMarginMs, kSweepMost);
-        if (!sweep_duty_->Hold(now)) return 0;
-        auto swept = claims().Sweep(now - kClockMarginMs, kSweepMost);
+        if (!all) return claims().SweepOwn(now - kMaxClockSkewMs, kMaxDeletes);
+        if (!sweep_lease_->Hold(now)) return 0;
+        auto swept = claims().Sweep(now - kMaxClockSkewMs, kMaxDeletes);
         return swept ? swept.value() : 0;
       },
       [](int) {});
 }
 
 int GatewayService::LiveInstances() const {
-  return members_ != nullptr ? members_->live_count() : 1;
+  return membership_ != nullptr ? membership_->live_count() : 1;
 }
 
 void GatewayService::Stop() {
-  recover_.stop();
-  sweep_.stop();
-  sweep_all_.stop();
+  claim_retry_timer_.stop();
+  sweep_timer_.stop();
+  sweep_all_timer_.stop();
   instance_list_keeper_.reset();
   store_->executor().WaitIdle();
   instance_list_.reset();
@@ -189,37 +203,41 @@
 
 void GatewayService::Drain(std::function<void()> done) {
   using std::chrono::milliseconds;
-  if (!leaving_) {
-    LOG(INFO) << "event=draining inflight=" << runs_->admission().inflight();
-    leaving_ = true;
-    if (members_ != nullptr) members_->Leave();
+  if (!stopping_) {
+    LOG(INFO) << "event=draining inflight="
+              << run_handler_->admission().inflight();
+    stopping_ = true;
+    if (membership_ != nullptr) membership_->Leave();
   }
   // Guard: the balancer sends new connections for a while after the health
-  // check fails. Refused at once, requests spent their resends on an instance
-  // that could still serve them; within the grace they are served.
-  const auto began = std::chrono::steady_clock::now();
-  if (settings_.drain_grace_ms == 0) runs_->admission().StartDrain();
-  // Owned: a poll that outlived this service would work on freed memory.
-  auto* poll = new QTimer(runs_.get());
-  poll->setInterval(kDrainPollEvery);
+  // check fails. Refusing them at once would use up the callers' retries on an
+  // instance that can still serve; within the grace period they are served.
+  const auto drain_start = std::chrono::steady_clock::now();
+  if (settings_.drain_grace_ms == 0) run_handler_->admission().StartDrain();
+  // The timer is a child of run_handler_: a poll after the destruction of this
+  // service would access freed memory.
+  auto* poll = new QTimer(run_handler_.get());
+  poll->setInterval(kDrainPollInterval);
   QObject::connect(
-      poll, &QTimer::timeout, [this, poll, began, done, cut = 0]() mutable {
+      poll, &QTimer::timeout,
+      [this, poll, drain_start, done, aborted = 0]() mutable {
         const DrainStep step = NextDrainStep(
             {std::chrono::duration_cast<milliseconds>(
-                 std::chrono::steady_clock::now() - began),
+                 std::chrono::steady_clock::now() - drain_start),
              milliseconds(settings_.drain_grace_ms),
              milliseconds(settings_.drain_timeout_ms),
-             // Claims not yet written count as in flight: gone with the
-             // process, they would leave a retry without the answer.
-             !runs_->idle(), !FlushAnswers()});
+             // Claims not yet written count as in flight: if they were lost
+             // with the process, a retry would not get the answer.
+             !run_handler_->idle(), !FlushAnswers()});
         if (step == DrainStep::kServe) return;
-        runs_->admission().StartDrain();
-        if (step == DrainStep::kFinish) return;
-        cut += runs_->EndOpen();
-        if (step == DrainStep::kAnswerOpen) return;
-        // Answered only now if the process was held up until its time was up.
+        run_handler_->admission().StartDrain();
+        if (step == DrainStep::kDrainInFlight) return;
+        aborted += run_handler_->AbortOpenRequests();
+        if (step == DrainStep::kAnswerRemaining) return;
+        // Flushes final answers that were written only in this poll, which
+        // happens if the event loop was blocked until the timeout expired.
         FlushAnswers();
-        LOG(INFO) << "event=drained inflight=" << cut
+        LOG(INFO) << "event=drained inflight=" << aborted
                   << " claims_pending=" << claims().pending();
         poll->stop();
         poll->deleteLater();
@@ -230,11 +248,12 @@
 
 void GatewayService::Close(std::function<void()> done) {
   for (QTcpServer* s : server_.servers()) {
-    // Connections not accepted yet would be reset, request and all.
+    // Accepts pending connections first: closing the socket would reset them
+    // together with their requests.
     s->waitForNewConnection(0);
     s->close();
   }
-  QTimer::singleShot(kLastRefusals, runs_.get(),
+  QTimer::singleShot(kLastRefusalTime, run_handler_.get(),
                      [this, done = std::move(done)] {
                        FlushAnswers();
                        done();
--- a/libs/gateway/src/membership_service.cc
+++ b/libs/gateway/src/membership_service.cc
@@ -24,13 +24,15 @@
 namespace {
 
 constexpr std::string_view kRosterPrefix = "instances/";
-constexpr std::chrono::milliseconds kTickEvery{100};
-/** Until the roster is written and read. */
-constexpr std::chrono::milliseconds kRosterRetry{2000};
-/** Then rarely, and the more so the larger the roster: listing 1,100 entries
- * every minute would alone take half of a node's control traffic. */
-constexpr std::chrono::milliseconds kRosterEvery{60000};
-constexpr std::chrono::milliseconds kRosterEveryPerEntry{500};
+constexpr std::chrono::milliseconds kTickInterval{100};
+/** Interval until the roster entry is written and the roster is read. */
+constexpr std::chrono::milliseconds kRosterRetryInterval{2000};
+/**
+ * Interval afterwards; it grows with the roster, because listing 1,100 entries
+ * every minute alone would take half of a node's control traffic.
+ */
+constexpr std::chrono::milliseconds kRosterInterval{60000};
+constexpr std::chrono::milliseconds kRosterIntervalPerEntry{500};
 
 std::string EncodeEntry(const Member& m) {
   const QJsonObject o{{"zone", QString::fromStdString(m.zone)},
@@ -85,15 +87,15 @@
   membership_ = std::make_unique<Membership>(
       self, membership::MembershipOptions{}, std::random_device{}());
   QObject::connect(&socket_, &QUdpSocket::readyRead, [this] { Receive(); });
-  QObject::connect(&tick_, &QTimer::timeout, [this] {
+  QObject::connect(&tick_timer_, &QTimer::timeout, [this] {
     Send(membership_->Tick(Membership::Clock::now()));
   });
-  tick_.start(kTickEvery);
-  QObject::connect(&roster_, &QTimer::timeout, [this] {
+  tick_timer_.start(kTickInterval);
+  QObject::connect(&roster_timer_, &QTimer::timeout, [this] {
     if (!registered_) Register();
     ReadRoster();
   });
-  roster_.start(kRosterRetry);
+  roster_timer_.start(kRosterRetryInterval);
   Register();
   ReadRoster();
   return boost::outcome_v2::success();
@@ -101,7 +103,7 @@
 
 void MembershipService::Register() {
   store_->executor().Run(
-      &roster_,
+      &roster_timer_,
       [this, entry = EncodeEntry(membership_->self())] {
         return store_->store()
             .Put(EntryKey(settings_.name), entry, store::kAnyVersion)
@@ -112,9 +114,9 @@
 
 void MembershipService::ReadRoster() {
   store_->executor().Run(
-      &roster_, [this] { return store_->store().List(kRosterPrefix); },
+      &roster_timer_, [this] { return store_->store().List(kRosterPrefix); },
       [this](const utils::Result<store::ObjectList>& list) {
-        // During an outage the last roster goes on serving.
+        // During a store outage the last roster stays in force.
         if (!list || !membership_) return;
         std::vector<Member> roster;
         std::ranges::transform(list.value().objects, std::back_inserter(roster),
@@ -122,7 +124,8 @@
         membership_->SetRoster(std::move(roster), Membership::Clock::now());
         if (registered_) {
           const auto entries = static_cast<int>(list.value().objects.size());
-          roster_.start(std::max(kRosterEvery, kRosterEveryPerEntry * entries));
+          roster_timer_.start(
+              std::max(kRosterInterval, kRosterIntervalPerEntry * entries));
         }
       });
 }
@@ -153,10 +156,10 @@
 void MembershipService::Leave() {
   if (!membership_ || leaving_) return;
   leaving_ = true;
-  roster_.stop();
+  roster_timer_.stop();
   Send(membership_->Leave());
   store_->executor().Run(
-      &roster_,
+      &roster_timer_,
       [this] {
         return store_->store()
             .Delete(EntryKey(settings_.name), store::kAnyVersion)
@@ -166,8 +169,8 @@
 }
 
 void MembershipService::Stop() {
-  tick_.stop();
-  roster_.stop();
+  tick_timer_.stop();
+  roster_timer_.stop();
   socket_.close();
   if (store_ != nullptr) store_->executor().WaitIdle();
 }
--- a/libs/gateway/src/pipeline_run.cc
+++ b/libs/gateway/src/pipeline_run.cc
@@ -16,10 +16,13 @@
 
 namespace {
 
-/** Calls one stage of one request may take, hedges aside. */
+/**
+ * Maximum number of calls of one stage; hedged calls count, but only retries
+ * are refused at the limit.
+ */
 constexpr int kMaxAttempts = 4;
 
-RoutingPolicy PolicyOf(std::string_view routing) {
+RoutingPolicy ParseRoutingPolicy(std::string_view routing) {
   if (routing == "round_robin") return RoutingPolicy::kRoundRobin;
   if (routing == "p2c") return RoutingPolicy::kPowerOfTwo;
   return RoutingPolicy::kPowerOfTwoEwma;
@@ -35,13 +38,13 @@
       on_token_(std::move(on_token)),
       on_done_(std::move(on_done)),
       current_input_(req_.input) {
-  deadline_.setSingleShot(true);
-  deadline_.setTimerType(Qt::PreciseTimer);
-  connect(&deadline_, &QTimer::timeout, this, [this] { OnDeadline(); });
-  hedge_.setSingleShot(true);
-  hedge_.setTimerType(Qt::PreciseTimer);
-  connect(&hedge_, &QTimer::timeout, this, [this] {
-    UpstreamPool& pool = ctx_.pools->For(req_.settings.business, stage());
+  deadline_timer_.setSingleShot(true);
+  deadline_timer_.setTimerType(Qt::PreciseTimer);
+  connect(&deadline_timer_, &QTimer::timeout, this, [this] { OnDeadline(); });
+  hedge_timer_.setSingleShot(true);
+  hedge_timer_.setTimerType(Qt::PreciseTimer);
+  connect(&hedge_timer_, &QTimer::timeout, this, [this] {
+    UpstreamPool& pool = ctx_.pools->PoolFor(req_.settings.business, stage());
     if (calls_.size() == 1 &&
         pool.hedge_budget().TrySpend(req_.settings.hedge_percent)) {
       StartCall(calls_.front()->spec().upstream.get());
@@ -50,7 +53,7 @@
 }
 
 void PipelineRun::Start() {
-  deadline_.start(std::max(0, RemainingMs()));
+  deadline_timer_.start(std::max(0, RemainingMs()));
   RunStage();
 }
 
@@ -60,7 +63,7 @@
                               .count());
 }
 
-bool PipelineRun::streams_here() const {
+bool PipelineRun::StreamsCurrentStage() const {
   return req_.stream && stage().kind == "engine" &&
          stage_ + 1 == req_.settings.stages.size();
 }
@@ -72,12 +75,12 @@
   return first - stages.begin();
 }
 
-RunState PipelineRun::UnfinishedState() const {
-  // Guard: an attempt that does not hold the claim cannot speak for the
-  // request: an older attempt with the key may still run it.
+RunState PipelineRun::StateIfEndedNow() const {
+  // Guard: an attempt that does not hold the claim cannot answer "not run": an
+  // older attempt with the same key may still run the request.
   const bool unclaimed = req_.acquire_claim && !claimed_;
   if (non_idempotent_sent_ || unclaimed) return RunState::kUnknown;
-  return any_sent_ ? RunState::kFailed : RunState::kNotRun;
+  return any_call_sent_ ? RunState::kFailed : RunState::kNotRun;
 }
 
 void PipelineRun::RunStage() {
@@ -86,22 +89,24 @@
     Finish(RunState::kRan, Errc::kOk, "");
     return;
   }
-  // Guard: a stage started with less than its minimum budget would only be
-  // cut by the deadline. Stop here so the caller hears at once what ran.
+  // Guard: a stage that starts with less than its minimum time would only be
+  // aborted at the deadline. The run ends here instead, so that the caller is
+  // answered at once.
   if (RemainingMs() < std::max(1, req_.settings.min_stage_ms)) {
-    Finish(UnfinishedState(), Errc::kDeadlineExceeded,
+    Finish(StateIfEndedNow(), Errc::kDeadlineExceeded,
            "deadline reached before stage " + stage().name);
     return;
   }
   if (req_.acquire_claim && !claimed_ && stage_ == ClaimStage()) {
-    // Claimed only here, not on arrival: an instance that dies while the
-    // idempotent stages run leaves no claim, and the retry can run at once.
+    // The claim is acquired here and not on arrival: if the instance crashes
+    // during the idempotent stages, no claim is left and a retry can run at
+    // once.
     req_.acquire_claim([self = QPointer<PipelineRun>(this)](const Claim& c) {
       if (self && self->on_done_) self->OnClaim(c);
     });
     return;
   }
-  UpstreamPool& pool = ctx_.pools->For(req_.settings.business, stage());
+  UpstreamPool& pool = ctx_.pools->PoolFor(req_.settings.business, stage());
   pool.retry_budget().OnAttempt(req_.settings.retry_budget_percent);
   pool.hedge_budget().OnAttempt(req_.settings.hedge_percent);
   attempt_ = 0;
@@ -111,9 +116,9 @@
 void PipelineRun::OnClaim(const Claim& claim) {
   switch (claim.state) {
     case ClaimState::kOwned:
-      // Guard: this process may have been paused while it waited. RunStage
-      // checks the deadline again, so that nothing is sent for a caller who
-      // has long been answered.
+      // Guard: the process may have been paused while the claim was acquired.
+      // RunStage checks the deadline again, so that no call is sent for a
+      // request that is already past it.
       claimed_ = true;
       RunStage();
       return;
@@ -121,34 +126,35 @@
       answer_.replay = claim.result;
       Finish(RunState::kRan, Errc::kOk, "");
       return;
-    case ClaimState::kOtherRequest:
-      // The key never stood for this request, so no attempt but this ran it.
-      Finish(any_sent_ ? RunState::kFailed : RunState::kNotRun,
+    case ClaimState::kKeyReused:
+      // The key belongs to another request, so no other attempt ran this one.
+      Finish(any_call_sent_ ? RunState::kFailed : RunState::kNotRun,
              Errc::kIdempotencyKeyReused,
-             "the idempotency key stands for another request");
+             "the idempotency key was already used for another request");
       return;
     case ClaimState::kFree:
     case ClaimState::kInFlightElsewhere:
       Finish(RunState::kUnknown, Errc::kDuplicateInFlight,
-             "another attempt with this idempotency key is under way");
+             "another attempt with this idempotency key is in progress");
       return;
-    case ClaimState::kStoreDown:
+    case ClaimState::kStoreUnreachable:
       Finish(RunState::kUnknown, Errc::kStoreUnavailable,
-             "cannot claim the idempotency key; this attempt ran nothing that "
-             "may not be repeated, an earlier one may have");
+             "cannot claim the idempotency key: store unavailable; this "
+             "attempt ran no call that must not be repeated, an earlier "
+             "attempt may have run one");
       return;
   }
 }
 
 void PipelineRun::StartCall(const UpstreamState* exclude) {
-  UpstreamPool& pool = ctx_.pools->For(req_.settings.business, stage());
+  UpstreamPool& pool = ctx_.pools->PoolFor(req_.settings.business, stage());
   const UpstreamRef upstream =
-      pool.Pick(PolicyOf(req_.settings.routing), *ctx_.rng,
+      pool.Pick(ParseRoutingPolicy(req_.settings.routing), *ctx_.rng,
                 std::chrono::steady_clock::now(), exclude);
   if (upstream == nullptr) {
-    if (!calls_.empty()) return;  // a hedge with nowhere to go
-    Finish(UnfinishedState(), Errc::kNoUpstream,
-           "no upstream for stage " + stage().name);
+    if (!calls_.empty()) return;  // no upstream for a hedged call
+    Finish(StateIfEndedNow(), Errc::kNoUpstream,
+           "no upstream available for stage " + stage().name);
     return;
   }
   ++attempt_;
@@ -159,7 +165,7 @@
   spec.upstream = upstream;
   spec.input = current_input_;
   spec.max_tokens = req_.max_tokens;
-  spec.stream = streams_here();
+  spec.stream = StreamsCurrentStage();
   spec.resume_from = spec.stream ? streamed_tokens_ : 0;
   spec.trace = utils::ChildContext(req_.trace);
   if (!stage().idempotent) spec.idempotency_key = req_.idempotency_key;
@@ -175,25 +181,25 @@
       });
   calls_.push_back(call);
   if (!stage().idempotent) non_idempotent_sent_ = true;
-  call->Send(stage().idempotent ? *ctx_.network : *ctx_.fresh_network);
-  ArmHedge();
+  call->Send(stage().idempotent ? *ctx_.network : *ctx_.non_persistent_network);
+  StartHedgeTimer();
 }
 
-void PipelineRun::ArmHedge() {
-  // Cloning a slow call to a second server follows Nylander et al.,
+void PipelineRun::StartHedgeTimer() {
+  // Sending a slow call to a second server as well follows Nylander et al.,
   // "Modeling of Request Cloning in Cloud Server Systems using Processor
-  // Sharing" (ICPE 2020): first answer wins, the other is cancelled. Cloning
-  // every call adds load (their condition for it to pay); only calls past the
-  // pool's 95th percentile are cloned here, within a budget. Measured in
-  // docs/BENCH.md, "Routing and hedging".
+  // Sharing" (ICPE 2020): the first answer wins, the other call is cancelled.
+  // Cloning every call adds load, which limits where cloning pays off; only
+  // calls past the pool's 95th latency percentile are cloned here, within a
+  // budget.
   if (req_.settings.hedge_percent == 0 || !stage().idempotent ||
-      streams_here() || calls_.size() > 1) {
+      StreamsCurrentStage() || calls_.size() > 1) {
     return;
   }
-  const double delay_ms = ctx_.pools->For(req_.settings.business, stage())
+  const double delay_ms = ctx_.pools->PoolFor(req_.settings.business, stage())
                               .hedge_delay()
                               .estimate_ms();
-  if (delay_ms > 0) hedge_.start(static_cast<int>(delay_ms) + 1);
+  if (delay_ms > 0) hedge_timer_.start(static_cast<int>(delay_ms) + 1);
 }
 
 void PipelineRun::Account(const StageCall& call, const StageOutcome& outcome) {
@@ -218,14 +224,14 @@
   std::erase(calls_, call);
   Account(*call, outcome);
   if (!CertainlyNotRun(outcome.report.result)) {
-    any_sent_ = true;
+    any_call_sent_ = true;
   } else if (!stage().idempotent) {
     non_idempotent_sent_ = std::ranges::any_of(
         answer_.stages, [](const StageRecord& r) { return !r.idempotent; });
   }
   if (outcome.report.result == CallResult::kOk) {
     OnStageOk(*call, outcome);
-  } else if (calls_.empty()) {  // else the hedge may still answer
+  } else if (calls_.empty()) {  // otherwise the other call may still succeed
     OnStageFailed(*call, outcome);
   }
 }
@@ -233,7 +239,7 @@
 void PipelineRun::OnStageOk(const StageCall& call,
                             const StageOutcome& outcome) {
   CancelCalls();
-  ctx_.pools->For(req_.settings.business, stage())
+  ctx_.pools->PoolFor(req_.settings.business, stage())
       .hedge_delay()
       .Add(outcome.report.ms);
   constexpr double kMsPerSecond = 1000.0;
@@ -247,28 +253,28 @@
 
 void PipelineRun::OnStageFailed(const StageCall& call,
                                 const StageOutcome& outcome) {
-  hedge_.stop();
-  const bool unrun = CertainlyNotRun(outcome.report.result);
-  UpstreamPool& pool = ctx_.pools->For(req_.settings.business, stage());
-  // A call that certainly did not run did no work and marks its upstream
-  // (leaving or failing), so sending it elsewhere cannot feed a retry storm:
-  // it is not charged to the budget, which would otherwise turn a routine
-  // replacement into failed requests.
+  hedge_timer_.stop();
+  const bool not_run = CertainlyNotRun(outcome.report.result);
+  UpstreamPool& pool = ctx_.pools->PoolFor(req_.settings.business, stage());
+  // A call that certainly did not run cost the upstream no work and marks it as
+  // leaving or failing, so retrying elsewhere cannot cause a retry storm. It
+  // does not consume the retry budget; otherwise the routine replacement of an
+  // upstream would exhaust the budget and fail requests.
   const bool may_retry =
-      (stage().idempotent || unrun) && attempt_ < kMaxAttempts &&
+      (stage().idempotent || not_run) && attempt_ < kMaxAttempts &&
       RemainingMs() > req_.settings.min_stage_ms &&
-      (unrun ||
+      (not_run ||
        pool.retry_budget().TrySpend(req_.settings.retry_budget_percent));
   if (may_retry) {
     StartCall(call.spec().upstream.get());
     return;
   }
   const std::string detail = "stage " + stage().name + ": " + outcome.error;
-  if (!stage().idempotent && !unrun) {
+  if (!stage().idempotent && !not_run) {
     Finish(RunState::kUnknown, Errc::kOutcomeUnknown, detail);
     return;
   }
-  Finish(UnfinishedState(),
+  Finish(StateIfEndedNow(),
          outcome.report.result == CallResult::kMisdelivered
              ? Errc::kMisdelivered
              : Errc::kUpstreamFailed,
@@ -276,19 +282,19 @@
 }
 
 void PipelineRun::OnDeadline() {
-  // Guard: Qt's transfer timeout restarts with every byte, so a stream that
-  // trickles on would outlive the deadline. One timer for the whole run
-  // answers at the deadline whatever the stages do.
-  if (!calls_.empty()) any_sent_ = true;
+  // Guard: Qt's transfer timeout restarts with every byte received, so a slow
+  // stream would outlive the deadline. A single timer per run ends it at the
+  // deadline, whatever the state of its stages.
+  if (!calls_.empty()) any_call_sent_ = true;
   const bool in_call = !calls_.empty();
   CancelCalls();
-  Finish(UnfinishedState(),
+  Finish(StateIfEndedNow(),
          in_call ? Errc::kUpstreamTimeout : Errc::kDeadlineExceeded,
          "deadline reached in stage " + stage().name);
 }
 
 void PipelineRun::CancelCalls() {
-  hedge_.stop();
+  hedge_timer_.stop();
   for (StageCall* call : std::exchange(calls_, {})) {
     Account(*call, call->Cancel());
   }
@@ -296,25 +302,25 @@
 
 void PipelineRun::Cancel() {
   if (!on_done_ || non_idempotent_sent_) return;
-  if (!calls_.empty()) any_sent_ = true;
+  if (!calls_.empty()) any_call_sent_ = true;
   CancelCalls();
-  Finish(UnfinishedState(), Errc::kCallerGone,
+  Finish(StateIfEndedNow(), Errc::kCallerGone,
          "the caller closed its connection");
 }
 
-void PipelineRun::CutOff() {
+void PipelineRun::Abort() {
   if (!on_done_) return;
-  if (!calls_.empty()) any_sent_ = true;
+  if (!calls_.empty()) any_call_sent_ = true;
   CancelCalls();
-  answer_.cut_off = true;
-  Finish(UnfinishedState(),
+  answer_.aborted = true;
+  Finish(StateIfEndedNow(),
          non_idempotent_sent_ ? Errc::kOutcomeUnknown : Errc::kDraining,
          "the instance stopped before the request ended");
 }
 
 void PipelineRun::Finish(RunState state, Errc code, std::string detail) {
-  deadline_.stop();
-  hedge_.stop();
+  deadline_timer_.stop();
+  hedge_timer_.stop();
   answer_.state = state;
   answer_.code = code;
   answer_.detail = std::move(detail);
--- a/libs/gateway/src/run_handler.cc
+++ b/libs/gateway/src/run_handler.cc
@@ -29,17 +29,17 @@
 
 }  // namespace
 
-/** One caller's request, from arrival to answer. */
+/** One request of a caller, from arrival to answer. */
 struct RunHandler::Exchange {
   std::string request_id;
   std::optional<http::Responder> responder;
-  ParsedRun parsed;
+  ParsedRunRequest parsed;
   Clock::time_point received;
   int64_t start_us = 0;
   bool run_ended = false;
   QPointer<PipelineRun> runner;  ///< Null before the run starts.
-  Claim seen;  ///< What the claim was on arrival, if not idempotent.
-  std::optional<Claim> owned;  ///< Held until completed or released.
+  Claim observed;  ///< Result of the lookup on arrival, if not idempotent.
+  std::optional<Claim> owned;  ///< Set until completed or released.
 
   const config::ResolvedSettings& settings() const {
     return parsed.run.settings;
@@ -59,45 +59,46 @@
       rng_(std::random_device{}()) {
   for (int i = 0; i < kNetworkManagers; ++i) {
     networks_.push_back(std::make_unique<QNetworkAccessManager>());
-    fresh_networks_.push_back(std::make_unique<QNetworkAccessManager>());
+    non_persistent_networks_.push_back(
+        std::make_unique<QNetworkAccessManager>());
   }
 }
 
 RunHandler::~RunHandler() = default;
 
 template <class Work, class Done>
-void RunHandler::OnStore(Work work, Done done) {
-  ++store_work_;
+void RunHandler::RunOnStoreThread(Work work, Done done) {
+  ++open_store_calls_;
   store_.executor().Run(this, std::move(work),
                         [this, done = std::move(done)](auto result) mutable {
-                          --store_work_;
+                          --open_store_calls_;
                           done(std::move(result));
                         });
 }
 
-int64_t RunHandler::KeepUntilUnixMs() const {
+int64_t RunHandler::ClaimExpiryUnixMs() const {
   constexpr int64_t kMsPerSecond = 1000;
   return utils::NowUnixMicros() / kMicrosPerMs +
          settings_.claim_retention_s * kMsPerSecond;
 }
 
-void RunHandler::NoteStore(bool answers) {
-  if (answers) {
-    store_down_since_.reset();
-  } else if (!store_down_since_) {
-    store_down_since_ = Clock::now();
+void RunHandler::RecordStoreResult(bool responded) {
+  if (responded) {
+    store_outage_since_.reset();
+  } else if (!store_outage_since_) {
+    store_outage_since_ = Clock::now();
   }
 }
 
 int RunHandler::RetryAfterMs(Errc code) const {
-  const int usual = utils::RetryAfterMs(code);
-  if (code != Errc::kStoreUnavailable || !store_down_since_) return usual;
-  // An outage that has lasted a while is likely to last as long again; a
-  // fixed short wait made callers spend their resends inside it.
-  constexpr int kLongestMs = 1000;
+  const int base_ms = utils::RetryAfterMs(code);
+  if (code != Errc::kStoreUnavailable || !store_outage_since_) return base_ms;
+  // An outage is likely to last as long again as it has lasted so far. With a
+  // short fixed delay callers use up their retries during the outage.
+  constexpr int kMaxRetryAfterMs = 1000;
   const auto age = std::chrono::duration_cast<std::chrono::milliseconds>(
-      Clock::now() - *store_down_since_);
-  return std::clamp(static_cast<int>(age.count()), usual, kLongestMs);
+      Clock::now() - *store_outage_since_);
+  return std::clamp(static_cast<int>(age.count()), base_ms, kMaxRetryAfterMs);
 }
 
 void RunHandler::Refuse(Exchange& exchange, Errc code, std::string_view detail,
@@ -124,12 +125,13 @@
   exchange->request_id = settings_.name + "-" + incarnation_ + "-" +
                          std::to_string(++next_request_);
   exchange->responder.emplace(std::move(responder));
-  // Kept, the connection would carry a request just when the process exits.
+  // Closes the connection after the answer: a kept connection could carry a new
+  // request just as the process exits.
   if (admission_.draining()) exchange->responder->CloseAfterwards();
   if (!ready()) {
-    // Guard: an instance that has not read the settings knows no pipeline;
-    // "unknown pipeline" would turn a proper request away for good.
-    Refuse(*exchange, Errc::kNotReady, "settings not read yet",
+    // Guard: before the settings are read no pipeline is known, and "unknown
+    // pipeline" would reject a valid request permanently.
+    Refuse(*exchange, Errc::kNotReady, "the settings have not been read yet",
            request.value("idempotency-key").isEmpty() ? RunState::kNotRun
                                                       : RunState::kUnknown);
     return;
@@ -144,19 +146,19 @@
     return;
   }
   exchange->parsed = std::move(parsed).value();
-  const ParsedRun& p = exchange->parsed;
+  const ParsedRunRequest& p = exchange->parsed;
   if (const Errc admit =
           admission_.TryAdmit(p.run.settings, p.deadline_ms, live_instances_());
       admit != Errc::kOk) {
     // Guard: an earlier attempt with this idempotency key may have run on
-    // another instance (killed before it answered). This attempt has not
-    // looked at the claim, so it cannot say "not run" for the request; it
-    // says "unknown" and when to come back with the same key.
+    // another instance that was killed before it answered. This attempt has not
+    // read the claim, so it cannot answer "not run"; it answers "unknown" with
+    // a Retry-After delay, and the caller retries with the same key.
     Refuse(*exchange, admit, "not admitted; this attempt ran nothing",
            p.idempotent ? RunState::kNotRun : RunState::kUnknown);
     return;
   }
-  open_.insert(exchange);
+  open_exchanges_.insert(exchange);
   if (p.idempotent) {
     StartRun(exchange);
   } else {
@@ -165,45 +167,45 @@
 }
 
 void RunHandler::LookUpClaim(const ExchangeRef& exchange) {
-  OnStore(
+  RunOnStoreThread(
       [this, subject = exchange->parsed.subject] {
         return claims_.Lookup(subject);
       },
       [this, exchange](const Claim& claim) {
         if (killed_ || exchange->run_ended) return;
-        NoteStore(claim.state != ClaimState::kStoreDown);
+        RecordStoreResult(claim.state != ClaimState::kStoreUnreachable);
         switch (claim.state) {
           case ClaimState::kFree:
           case ClaimState::kOwned:
-            exchange->seen = claim;
+            exchange->observed = claim;
             StartRun(exchange);
             return;
           case ClaimState::kDone:
             WriteReplay(*exchange, claim.result);
             break;
-          case ClaimState::kOtherRequest:
+          case ClaimState::kKeyReused:
             Refuse(*exchange, Errc::kIdempotencyKeyReused,
-                   "the idempotency key stands for another request",
+                   "the idempotency key was already used for another request",
                    RunState::kNotRun);
             break;
           case ClaimState::kInFlightElsewhere:
             Refuse(*exchange, Errc::kDuplicateInFlight,
                    "this idempotency key is claimed by another attempt; its "
-                   "outcome is not known here",
+                   "outcome is not known to this instance",
                    RunState::kUnknown);
             break;
-          case ClaimState::kStoreDown:
-            // Guard: with the store unreadable we cannot tell whether an
-            // earlier attempt with this key ran (found by the faults
-            // scenario: a retry after a killed instance was told "not run"
-            // for a printed notice).
+          case ClaimState::kStoreUnreachable:
+            // Guard: without the claim it is unknown whether an earlier attempt
+            // with this key ran. "Not run" would be false for a retry of a
+            // notice that was printed by an instance killed before it answered.
             Refuse(*exchange, Errc::kStoreUnavailable,
-                   "cannot read the idempotency key's claim; this attempt ran "
-                   "nothing, an earlier one may have",
+                   "cannot read the claim of the idempotency key: store "
+                   "unavailable; this attempt ran nothing, an earlier attempt "
+                   "may have run",
                    RunState::kUnknown);
             break;
         }
-        Leave(exchange);
+        EndExchange(exchange);
       });
 }
 
@@ -223,9 +225,9 @@
         "text/event-stream",
         AnswerHeaders(exchange->request_id, utils::RetryAfterMs(Errc::kOk)));
   }
-  const size_t lane = next_request_ % networks_.size();
-  const RunContext context{networks_[lane].get(),
-                           fresh_networks_[lane].get(),
+  const size_t manager = next_request_ % networks_.size();
+  const RunContext context{networks_[manager].get(),
+                           non_persistent_networks_[manager].get(),
                            &pools_,
                            &metrics_,
                            &spans_,
@@ -249,47 +251,51 @@
 
 void RunHandler::AcquireClaim(const ExchangeRef& exchange,
                               std::function<void(const Claim&)> done) {
-  OnStore([this, seen = exchange->seen,
-           keep = KeepUntilUnixMs()] { return claims_.Acquire(seen, keep); },
-          [this, exchange, done = std::move(done)](const Claim& claim) {
-            if (killed_) return;
-            NoteStore(claim.state != ClaimState::kStoreDown);
-            if (claim.state == ClaimState::kOwned) {
-              exchange->owned = claim;
-              // The run ended (deadline, caller gone) while the claim was on
-              // its way; nothing was sent under it.
-              if (exchange->run_ended) {
-                SettleClaim(*exchange, RunAnswer{}, {});
-                return;
-              }
-            }
-            done(claim);
-          });
+  RunOnStoreThread(
+      [this, observed = exchange->observed, keep_until = ClaimExpiryUnixMs()] {
+        return claims_.Acquire(observed, keep_until);
+      },
+      [this, exchange, done = std::move(done)](const Claim& claim) {
+        if (killed_) return;
+        RecordStoreResult(claim.state != ClaimState::kStoreUnreachable);
+        if (claim.state == ClaimState::kOwned) {
+          exchange->owned = claim;
+          // The run ended (deadline, disconnect) while the claim was being
+          // acquired; no call was sent under the claim.
+          if (exchange->run_ended) {
+            FinishClaim(*exchange, RunAnswer{}, {});
+            return;
+          }
+        }
+        done(claim);
+      });
 }
 
-void RunHandler::SettleClaim(Exchange& exchange, const RunAnswer& answer,
+void RunHandler::FinishClaim(Exchange& exchange, const RunAnswer& answer,
                              const QByteArray& body) {
   if (!exchange.owned) return;
   const Claim claim = *std::exchange(exchange.owned, std::nullopt);
   if (answer.state == RunState::kRan) {
-    OnStore(
-        [this, claim, body = body.toStdString(), keep = KeepUntilUnixMs()] {
-          return claims_.Complete(claim, body, keep);
+    RunOnStoreThread(
+        [this, claim, body = body.toStdString(),
+         keep_until = ClaimExpiryUnixMs()] {
+          return claims_.Complete(claim, body, keep_until);
         },
         [](bool) {});
   } else if (answer.state != RunState::kUnknown) {
-    // Nothing that may not be repeated ran: free the key for a retry.
-    OnStore(
+    // No non-idempotent call ran: releases the key for a retry.
+    RunOnStoreThread(
         [this, claim] {
           claims_.Release(claim);
           return true;
         },
         [](bool) {});
   }
-  // kUnknown: the claim stays, so that no other attempt can run it again.
+  // kUnknown: the claim stays, so that no other attempt runs the request.
 }
 
-void RunHandler::Record(const Exchange& exchange, const RunAnswer& answer) {
+void RunHandler::RecordRequest(const Exchange& exchange,
+                               const RunAnswer& answer) {
   const config::ResolvedSettings& s = exchange.settings();
   const double seconds =
       std::chrono::duration<double>(Clock::now() - exchange.received).count();
@@ -307,7 +313,7 @@
 void RunHandler::WriteReplay(Exchange& exchange, const std::string& body) {
   RunAnswer replayed;
   replayed.state = RunState::kRan;
-  Record(exchange, replayed);
+  RecordRequest(exchange, replayed);
   http::Headers headers =
       AnswerHeaders(exchange.request_id, utils::RetryAfterMs(Errc::kOk));
   headers.emplace_back("x-replayed", "1");
@@ -318,9 +324,9 @@
 
 void RunHandler::OnRunDone(const ExchangeRef& exchange,
                            const RunAnswer& answer) {
-  // A killed process records nothing: its claims stay as they were.
+  // A killed process writes nothing: its claims stay unchanged.
   if (killed_) return;
-  Leave(exchange);
+  EndExchange(exchange);
   const bool stream = exchange->parsed.run.stream;
   if (!answer.replay.empty() && !stream) {
     WriteReplay(*exchange, answer.replay);
@@ -331,11 +337,11 @@
           ? AnswerJson(exchange->request_id, exchange->settings(), answer,
                        RetryAfterMs(answer.code))
           : QByteArray::fromStdString(answer.replay);
-  SettleClaim(*exchange, answer, body);
-  Record(*exchange, answer);
+  FinishClaim(*exchange, answer, body);
+  RecordRequest(*exchange, answer);
   if (stream) {
     exchange->responder->WriteChunk(http::SseEvent(body));
-    if (answer.cut_off) {
+    if (answer.aborted) {
       exchange->responder->CloseAfterSending();
     } else {
       exchange->responder->EndStream();
@@ -348,38 +354,39 @@
   exchange->responder.reset();
 }
 
-void RunHandler::Leave(const ExchangeRef& exchange) {
+void RunHandler::EndExchange(const ExchangeRef& exchange) {
   exchange->run_ended = true;
   admission_.Release(exchange->settings());
-  open_.erase(exchange);
+  open_exchanges_.erase(exchange);
 }
 
-int RunHandler::EndOpen() {
-  const auto open = open_;  // ending a request takes it out
+int RunHandler::AbortOpenRequests() {
+  const auto open = open_exchanges_;  // copied: ending a request removes it
   for (const auto& entry : open) {
     const ExchangeRef exchange = entry.lock();
     if (!exchange) continue;
     if (exchange->runner) {
-      exchange->runner->CutOff();
+      exchange->runner->Abort();
     } else {
-      // Its claim is still being read: an earlier attempt may have run.
-      Refuse(*exchange, Errc::kDraining, "the instance stopped; ran nothing",
+      // The claim lookup has not completed: an earlier attempt may have run.
+      Refuse(*exchange, Errc::kDraining,
+             "the instance stopped; this attempt ran nothing",
              RunState::kUnknown);
-      Leave(exchange);
+      EndExchange(exchange);
     }
   }
   return static_cast<int>(open.size());
 }
 
-void RunHandler::Recover() {
-  if (recovering_ || claims_.pending() == 0) return;
-  recovering_ = true;
-  OnStore(
+void RunHandler::RetryPendingClaims() {
+  if (retrying_claims_ || claims_.pending() == 0) return;
+  retrying_claims_ = true;
+  RunOnStoreThread(
       [this] {
-        claims_.Recover();
+        claims_.RetryPendingClaims();
         return true;
       },
-      [this](bool) { recovering_ = false; });
+      [this](bool) { retrying_claims_ = false; });
 }
 
 void RunHandler::Kill() {
@@ -390,7 +397,7 @@
 bool RunHandler::ready() const { return tree_.synced(); }
 
 bool RunHandler::idle() const {
-  return admission_.inflight() == 0 && store_work_ == 0 &&
+  return admission_.inflight() == 0 && open_store_calls_ == 0 &&
          claims_.pending() == 0;
 }
 
--- a/libs/gateway/src/run_parser.cc
+++ b/libs/gateway/src/run_parser.cc
@@ -17,9 +17,12 @@
 
 constexpr std::string_view kRunVerb = ":run";
 constexpr int kDefaultMaxTokens = 16;
-constexpr qsizetype kMaxIdempotencyKey = 128;
+constexpr qsizetype kMaxIdempotencyKeyBytes = 128;
 
-/** What a key stands for: same key, other fingerprint is another request. */
+/**
+ * @return hash of the input and token limit; a key reused with another
+ *     fingerprint belongs to another request.
+ */
 std::string Fingerprint(const RunRequest& run) {
   QCryptographicHash hash(QCryptographicHash::Sha256);
   hash.addData(QByteArray::fromStdString(run.input));
@@ -29,15 +32,15 @@
 
 }  // namespace
 
-utils::Result<ParsedRun> ParseRun(const RawRun& raw,
-                                  const config::SettingsTree& tree) {
+utils::Result<ParsedRunRequest> ParseRun(const RawRunRequest& raw,
+                                         const config::SettingsTree& tree) {
   const QStringList parts =
       raw.path.mid(static_cast<qsizetype>(kRunPrefix.size())).split('/');
   const QString verb = QString::fromUtf8(
       kRunVerb.data(), static_cast<qsizetype>(kRunVerb.size()));
   if (parts.size() != 2 || !parts[1].endsWith(verb)) {
     return Fail(Errc::kBadRequest,
-                "want /v1/pipelines/<business>/<pipeline>:run");
+                "path must be /v1/pipelines/<business>/<pipeline>:run");
   }
   QJsonParseError error{};
   const QJsonDocument doc = QJsonDocument::fromJson(raw.body, &error);
@@ -49,7 +52,7 @@
       parts[0].toStdString(), parts[1].chopped(verb.size()).toStdString(),
       body.value("organisation").toString().toStdString());
   if (!resolved) return resolved.error();
-  ParsedRun parsed;
+  ParsedRunRequest parsed;
   RunRequest& run = parsed.run;
   run.settings = std::move(resolved).value();
   const config::ResolvedSettings& s = run.settings;
@@ -63,16 +66,17 @@
   run.stream = body.value("stream").toBool(false);
   run.trace = utils::ChildContext(
       utils::ParseTraceparent(raw.traceparent.toStdString()));
-  // Guard: a caller may leave out "idempotent" on a pipeline that prints.
-  // Believed, its retry would print again; the stages say what may repeat.
-  const bool stages_repeatable =
+  // Guard: a caller may omit "idempotent": false for a pipeline that prints. A
+  // retry would then print twice, so the stages' settings take precedence.
+  const bool stages_idempotent =
       std::ranges::all_of(s.stages, &config::StageSpec::idempotent);
   parsed.idempotent =
-      stages_repeatable && body.value("idempotent").toBool(true);
+      stages_idempotent && body.value("idempotent").toBool(true);
   if (parsed.idempotent) return parsed;
-  if (stages_repeatable) {
-    // Guard: what the caller marked must not run twice, although the
-    // settings would let its stages be retried and hedged.
+  if (stages_idempotent) {
+    // Guard: the caller marked the request as non-idempotent although its
+    // stages are idempotent by the settings. They must not be retried or
+    // hedged.
     std::ranges::for_each(run.settings.stages, [](config::StageSpec& stage) {
       stage.idempotent = false;
     });
@@ -84,9 +88,10 @@
     return Fail(Errc::kMissingIdempotencyKey,
                 "a non-idempotent request needs an Idempotency-Key");
   }
-  if (key.size() > kMaxIdempotencyKey) {
-    return Fail(Errc::kBadRequest, "Idempotency-Key is longer than " +
-                                       std::to_string(kMaxIdempotencyKey));
+  if (key.size() > kMaxIdempotencyKeyBytes) {
+    return Fail(Errc::kBadRequest,
+                "Idempotency-Key exceeds the limit in bytes: " +
+                    std::to_string(kMaxIdempotencyKeyBytes));
   }
   run.idempotency_key =
       QualifiedKey(s.business, s.organisation, s.pipeline, key.toStdString());
--- a/libs/gateway/src/settings_service.cc
+++ b/libs/gateway/src/settings_service.cc
@@ -11,8 +11,8 @@
     return utils::Fail(utils::Errc::kConfigInvalid, "no store service");
   }
   tree_ = std::make_unique<config::SettingsTree>(store->store());
-  // Read before serving where the store is there; else the instance starts
-  // not ready and the keeper goes on trying.
+  // Reads the settings before serving if the store is reachable. Otherwise the
+  // instance starts as not ready and the keeper continues to retry.
   (void)tree_->Arm();
   keeper_ = std::make_unique<store::WatchKeeper>(tree_->watch(),
                                                  store->executor(), "settings");
--- a/libs/gateway/src/stage_call.cc
+++ b/libs/gateway/src/stage_call.cc
@@ -73,10 +73,10 @@
   OnSend(*spec_.upstream);
   sent_at_ = Clock::now();
   start_us_ = utils::NowUnixMicros();
-  // Guard: when an upstream closes the connection without answering, Qt
-  // sends the POST again by itself, and a notice is printed twice. A body
-  // that cannot be rewound makes Qt report an error instead; whether to
-  // send again is the executor's decision alone.
+  // Guard: if an upstream closes the connection without answering, Qt resends
+  // the POST on its own, and a notice is printed twice. With a body that cannot
+  // be rewound Qt reports an error instead, and only PipelineRun decides on
+  // retries.
   auto* device = new http::OneShotBody(body, this);
   reply_ = network.post(RequestHead(spec_, body.size()), device);
   if (spec_.stream) {
@@ -102,28 +102,28 @@
 
 void StageCall::ReadStream() {
   sse_buffer_.append(reply_->readAll());
-  // Parse only whole events; keep the tail for the next read.
-  const qsizetype cut = sse_buffer_.lastIndexOf("\n\n");
-  if (cut < 0) return;
-  const QByteArray whole = sse_buffer_.left(cut + 2);
-  sse_buffer_.remove(0, cut + 2);
+  // Parses only complete events; the rest stays in the buffer.
+  const qsizetype events_end = sse_buffer_.lastIndexOf("\n\n");
+  if (events_end < 0) return;
+  const QByteArray complete_events = sse_buffer_.left(events_end + 2);
+  sse_buffer_.remove(0, events_end + 2);
   http::SseParser parser;
-  for (const QByteArray& data : parser.Feed(whole)) {
+  for (const QByteArray& data : parser.Feed(complete_events)) {
     if (data == "[DONE]") continue;
     const QJsonObject event = QJsonDocument::fromJson(data).object();
-    // Guard: a token from another call must never reach this caller. It
-    // shows as words of someone else's answer; checking the echoed call id
-    // on every event holds because ids are unique per call.
+    // Guard: a token of another call must never be forwarded to this caller.
+    // Call ids are unique, so the id echoed in every event identifies foreign
+    // tokens.
     if (event.value("request_id").toString().toStdString() != spec_.call_id) {
-      foreign_id_ = true;
+      foreign_call_id_ = true;
       continue;
     }
     if (event.value("done").toBool()) {
       stream_done_ = true;
       continue;
     }
-    // Guard: a resumed stream may repeat tokens the caller has, or skip
-    // some. Indices say so: a repeat is dropped, a gap fails the call.
+    // Guard: a resumed stream may contain tokens that were already forwarded,
+    // or skip tokens. Duplicate indices are dropped; a gap fails the call.
     const int index = event.value("index").toInt(next_token_);
     if (index < next_token_) continue;
     if (index > next_token_) {
@@ -136,7 +136,7 @@
   }
 }
 
-CallResult StageCall::Judge(StageOutcome& outcome) {
+CallResult StageCall::ClassifyReply(StageOutcome& outcome) {
   outcome.status =
       reply_->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
   if (reply_->rawHeader("x-leaving") == "1" &&
@@ -160,8 +160,8 @@
   if (spec_.stream) {
     ReadStream();
     outcome.tokens = tokens_;
-    if (foreign_id_) return CallResult::kMisdelivered;
-    // Guard: a stream that ends early must not look whole.
+    if (foreign_call_id_) return CallResult::kMisdelivered;
+    // Guard: a stream that ends early must not be taken for a complete answer.
     if (stream_gap_ || !stream_done_) {
       outcome.error = stream_gap_ ? "stream skipped a token"
                                   : "stream ended without its end event";
@@ -185,7 +185,7 @@
 void StageCall::OnFinished() {
   StageOutcome outcome;
   const QByteArray depth = reply_->rawHeader("x-queue-depth");
-  const CallResult result = Judge(outcome);
+  const CallResult result = ClassifyReply(outcome);
   outcome.report = {result, ElapsedMs(), depth.isEmpty() ? -1 : depth.toInt()};
   reply_->deleteLater();
   deleteLater();
--- a/libs/gateway/src/upstream_pool.cc
+++ b/libs/gateway/src/upstream_pool.cc
@@ -7,12 +7,12 @@
 
 namespace {
 
-/** @return true if `a` should get the next call rather than `b`. */
+/** @return true if `a` should receive the next call rather than `b`. */
 bool IsLessLoaded(const UpstreamState& a, const UpstreamState& b,
                   RoutingPolicy policy, Clock::time_point now) {
   const double queue_a = a.inflight + a.reported_depth;
   const double queue_b = b.inflight + b.reported_depth;
-  // Without a sample for both, latencies cannot be compared.
+  // Latencies can be compared only if both upstreams have a sample.
   if (policy != RoutingPolicy::kPowerOfTwoEwma || a.latency_ms == 0 ||
       b.latency_ms == 0) {
     return queue_a < queue_b;
@@ -30,9 +30,8 @@
 UpstreamRef UpstreamPool::Pick(RoutingPolicy policy, std::mt19937_64& rng,
                                Clock::time_point now,
                                const UpstreamState* exclude) {
-  // Guard: a leaving upstream must get no new work. It shows as 503s and
-  // cut streams when it finally goes; skipping it here holds because every
-  // new call passes through Pick.
+  // Guard: a leaving upstream must receive no new calls; it answers them with
+  // 503 and cuts streams when it stops. Every new call is selected here.
   auto collect = [&](auto accept) {
     eligible_.clear();
     for (const UpstreamRef& m : members_) {
@@ -48,7 +47,7 @@
     return nullptr;
   }
   if (policy == RoutingPolicy::kRoundRobin || eligible_.size() == 1) {
-    return *eligible_[next_++ % eligible_.size()];
+    return *eligible_[next_round_robin_++ % eligible_.size()];
   }
   const size_t first = rng() % eligible_.size();
   const size_t step = 1 + rng() % (eligible_.size() - 1);
--- a/libs/gateway/src/upstream_state.cc
+++ b/libs/gateway/src/upstream_state.cc
@@ -13,27 +13,29 @@
 
 /** Consecutive failures after which an upstream is ejected. */
 constexpr int kFailuresToEject = 3;
-/** First ejection; doubles with each further failure. */
+/** Duration of the first ejection; doubles with each further failure. */
 constexpr milliseconds kFirstEjection{500};
-constexpr milliseconds kLongestEjection{8000};
-/** How long a refusal as leaving is trusted without the instance list. */
-constexpr seconds kRefusalTrust{60};
-/** Weight of a new latency sample. */
+constexpr milliseconds kMaxEjection{8000};
+/**
+ * How long a refusal as leaving is valid without an entry in the instance list.
+ */
+constexpr seconds kRefusalValidity{60};
+/** Weight of a new latency sample in the moving average. */
 constexpr double kSampleWeight = 0.2;
-/** Time constant with which a latency that is not sampled is forgotten. */
-constexpr duration<double> kLatencyMemory{2.0};
+/** Time constant of the exponential decay of a latency sample. */
+constexpr duration<double> kLatencyDecayTime{2.0};
 
 void Eject(UpstreamState& upstream, Clock::time_point now) {
   const int doublings = std::min(upstream.failures - kFailuresToEject, 10);
-  upstream.ejected_till =
-      now + std::min(kLongestEjection, kFirstEjection * (1 << doublings));
+  upstream.ejected_until =
+      now + std::min(kMaxEjection, kFirstEjection * (1 << doublings));
 }
 
 }  // namespace
 
 void OnSend(UpstreamState& upstream) {
   ++upstream.inflight;
-  ++upstream.picks;
+  ++upstream.calls_sent;
 }
 
 void OnReport(UpstreamState& upstream, const CallReport& report,
@@ -50,43 +52,44 @@
               ? report.ms
               : (1 - kSampleWeight) * DecayedLatencyMs(upstream, now) +
                     kSampleWeight * report.ms;
-      upstream.latency_at = now;
+      upstream.latency_sampled_at = now;
       break;
     case CallResult::kCancelled:
-      // A call given up took at least this long: without the sample a slow
-      // upstream whose calls always lose to their hedge would look fast.
+      // A cancelled call took at least this long. Without this sample a slow
+      // upstream whose calls always lose to their hedged calls would appear
+      // fast.
       if (report.ms > DecayedLatencyMs(upstream, now)) {
         upstream.latency_ms = report.ms;
-        upstream.latency_at = now;
+        upstream.latency_sampled_at = now;
       }
       break;
     case CallResult::kRefusedLeaving:
-      upstream.refuses_till = now + kRefusalTrust;
+      upstream.refused_until = now + kRefusalValidity;
       break;
     case CallResult::kNotSent:
     case CallResult::kFailed:
     case CallResult::kMisdelivered:
-      // Guard: a dead upstream fails at once, so it always looks the least
-      // loaded and draws in most of the traffic. It shows as a pool failing
-      // far more than its one dead member's share. Ejection after a few
-      // failures in a row takes it out; one call at a time probes it after.
+      // Guard: an unreachable upstream fails fast, so it always appears least
+      // loaded and attracts most of the calls; the whole pool then fails far
+      // more than the share of that member. After a few consecutive failures
+      // the upstream is ejected, and later probed with one call at a time.
       if (++upstream.failures >= kFailuresToEject) Eject(upstream, now);
       break;
   }
 }
 
 bool IsLeaving(const UpstreamState& upstream, Clock::time_point now) {
-  return upstream.listed_leaving || now < upstream.refuses_till;
+  return upstream.listed_leaving || now < upstream.refused_until;
 }
 
 bool IsEjected(const UpstreamState& upstream, Clock::time_point now) {
   if (upstream.failures < kFailuresToEject) return false;
-  return now < upstream.ejected_till || upstream.inflight > 0;
+  return now < upstream.ejected_until || upstream.inflight > 0;
 }
 
 double DecayedLatencyMs(const UpstreamState& upstream, Clock::time_point now) {
-  const duration<double> age = now - upstream.latency_at;
-  return upstream.latency_ms * std::exp(-age / kLatencyMemory);
+  const duration<double> age = now - upstream.latency_sampled_at;
+  return upstream.latency_ms * std::exp(-age / kLatencyDecayTime);
 }
 
 }  // namespace turmeric::gateway
--- a/libs/gateway/test/admission_test.cc
+++ b/libs/gateway/test/admission_test.cc
@@ -5,9 +5,10 @@
 using turmeric::gateway::Admission;
 using turmeric::utils::Errc;
 
-TEST_CASE("admission sheds early and stops for drain") {
-  // A burst from one organisation must not take every slot; a deadline too
-  // short for the stages is refused as not run rather than answered late.
+TEST_CASE("admission refuses on short deadline, full quota and drain") {
+  // Guards against one organisation's burst taking every slot, and against late
+  // answers: a deadline too short for all stages must be refused before
+  // anything runs.
   turmeric::config::ResolvedSettings s;
   s.business = "nilelight";
   s.organisation = "nile-hotels";
@@ -25,9 +26,9 @@
   CHECK(a.inflight() == 1);
 }
 
-TEST_CASE("a fleet-wide limit is shared by the instances at work") {
-  // A franchise may have 8 requests open in all. With the limit per instance
-  // alone, its budget grew with every instance added.
+TEST_CASE("a fleet-wide limit is shared by the live instances") {
+  // An organisation may have 8 requests in flight in the whole fleet. A limit
+  // applied per instance alone would grow with every added instance.
   turmeric::gateway::Admission admission;
   turmeric::config::ResolvedSettings s;
   s.organisation = "o";
@@ -41,6 +42,6 @@
     ++admitted;
   }
   CHECK(admitted == 2);
-  // Two instances die; the rest take over their share.
+  // With two live instances left, the share of this instance doubles.
   CHECK(admission.TryAdmit(s, kDeadlineMs, 2) == turmeric::utils::Errc::kOk);
 }
--- a/libs/gateway/test/caller_connection_test.cc
+++ b/libs/gateway/test/caller_connection_test.cc
@@ -1,5 +1,5 @@
-// Failures of a caller's connection: it goes away, or it carries several
-// requests at once.
+// Connection failures of callers: disconnects, and several pipelined requests
+// on one connection.
 #include <QTcpSocket>
 #include <catch2/catch.hpp>
 
@@ -15,8 +15,8 @@
 
 namespace {
 
-/** @return one HTTP/1.1 run request as a caller's client writes it. */
-QByteArray RawRun(const char* pipeline, const QByteArray& body) {
+/** @return one HTTP/1.1 run request as sent by a caller. */
+QByteArray RunRequestText(const char* pipeline, const QByteArray& body) {
   return QByteArray("POST /v1/pipelines/nilelight/") + pipeline +
          ":run HTTP/1.1\r\nHost: gate\r\nContent-Type: application/json\r\n"
          "Content-Length: " +
@@ -30,19 +30,19 @@
 
 }  // namespace
 
-TEST_CASE("a caller that disconnects takes nobody else down") {
-  // A wall panel loses power while its notice is generated. Before: Qt
-  // deleted the connection, the late answer was written to it, the instance
-  // crashed and every other caller's request was cut.
+TEST_CASE("a caller's disconnect does not affect other callers") {
+  // Guards against a crash after a caller's disconnect: Qt deletes the
+  // connection, the late answer is written to it, the process crashes and the
+  // requests of all other callers are cut off.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   for (const char* stream : {"false", "true"}) {
     QTcpSocket panel;
     Connect(panel, stack);
-    panel.write(RawRun("generate",
-                       QByteArray(R"({"organisation":"nile-hotels","input":)"
-                                  R"("room 4","max_tokens":30,"stream":)") +
-                           stream + "}"));
+    panel.write(RunRequestText(
+        "generate", QByteArray(R"({"organisation":"nile-hotels","input":)"
+                               R"("room 4","max_tokens":30,"stream":)") +
+                        stream + "}"));
     Wait(20);
     panel.abort();
     Wait(150);
@@ -54,9 +54,9 @@
   CHECK(Json(other).value("state").toString() == "ran");
 }
 
-TEST_CASE("work for a caller that has gone is cancelled") {
-  // Receptionists close the page before a long summary is ready. The summary
-  // must not go on through rerank and generate at the business's cost.
+TEST_CASE("the run of a disconnected caller is cancelled") {
+  // Guards against wasted upstream work: after the caller disconnects, the
+  // remaining stages (rerank, generate) must not run at the business's cost.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   for (const auto& s : stack.embedded->services()) {
@@ -64,7 +64,8 @@
   }
   QTcpSocket page;
   Connect(page, stack);
-  page.write(RawRun("translate-notice", Body("nile-hotels", "long summary")));
+  page.write(
+      RunRequestText("translate-notice", Body("nile-hotels", "long summary")));
   Wait(20);
   page.abort();
   Wait(400);
@@ -75,16 +76,17 @@
         std::string::npos);
 }
 
-TEST_CASE("answers on one connection leave in request order") {
-  // A panel pipelines two requests on one connection: a slow summary, then a
-  // quick notice. The notice is ready first; sent first, the panel would show
-  // it as the answer to the summary.
+TEST_CASE("answers on one connection are sent in request order") {
+  // Guards against answers in completion order. The caller pipelines a slow and
+  // a fast request; if the fast answer were sent first, the caller would take
+  // it for the answer to the slow request.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   QTcpSocket panel;
   Connect(panel, stack);
-  panel.write(RawRun("generate", Body("nile-hotels", "SLOW", true, 40)) +
-              RawRun("generate", Body("nile-hotels", "FAST", true, 1)));
+  panel.write(
+      RunRequestText("generate", Body("nile-hotels", "SLOW", true, 40)) +
+      RunRequestText("generate", Body("nile-hotels", "FAST", true, 1)));
   QByteArray received;
   for (int i = 0; i < 50 && received.count("HTTP/1.1 ") < 2; ++i) {
     Wait(20);
--- a/libs/gateway/test/claim_table_test.cc
+++ b/libs/gateway/test/claim_table_test.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** A request of one organisation, told apart by its key. */
+/** @return the claim subject of a request that is identified by its key. */
 ClaimSubject Subject(const std::string& key) {
   return {turmeric::gateway::ClaimStoreKey(
               turmeric::gateway::QualifiedKey("b", "o", "p", key)),
@@ -24,7 +24,7 @@
 
 constexpr int64_t kKeepUntil = 10'000;
 
-/** A whole attempt: what it sees on arrival, then its claim. */
+/** Makes a complete attempt: lookup on arrival, then acquisition. */
 Claim BeginAndAcquire(ClaimTable& table, const ClaimSubject& subject) {
   const Claim seen = table.Lookup(subject);
   return seen.state == ClaimState::kFree ? table.Acquire(seen, kKeepUntil)
@@ -33,11 +33,11 @@
 
 }  // namespace
 
-TEST_CASE("at most one attempt runs a key, whatever the store does") {
-  // A parish crew's felling recommendation is retried through several entry
-  // instances while the store loses answers and goes down. Each attempt that
-  // is told kOwned runs the work; two such for one key would print the
-  // recommendation twice.
+TEST_CASE("at most one attempt runs a key despite store faults") {
+  // Guards against double execution: an operation is retried through several
+  // entry instances while the store loses answers and has outages. Each attempt
+  // that gets kOwned runs the work, so two owners of one key would run it
+  // twice.
   rc::prop("owners per key <= 1", [](std::vector<uint8_t> script) {
     MemoryStore store;
     std::vector<std::unique_ptr<ClaimTable>> instances;
@@ -59,22 +59,23 @@
         RC_ASSERT(runs[key] <= 1);
         if (step & 0x80) t.Complete(c, "done", kKeepUntil);
       }
-      // A release says the call certainly did not run; the key is free again.
+      // A release means that the call certainly did not run; the key is free
+      // again.
       if (c.state == ClaimState::kOwned && (step & 0xC0) == 0x80) {
-        // completed above
+        // already completed
       } else if (c.state == ClaimState::kOwned && (step & 0x0C) == 0x0C) {
         t.Release(c);
         --runs[key];
       }
-      t.Recover();
+      t.RetryPendingClaims();
     }
   });
 }
 
-TEST_CASE("a lost create answer still gives the claim to its writer") {
-  // The store applies our create and the answer is lost. Without reading
-  // back, the caller would hear "not run" and its retry would find the key
-  // held by a ghost claim for ever.
+TEST_CASE("a create whose answer is lost gives the claim to its writer") {
+  // Guards against orphaned claims: the store applies the create but its answer
+  // is lost. Without reading back, the caller would receive "not run" and its
+  // retries would find the key claimed.
   MemoryStore store;
   ClaimTable table(store, "entry-1");
   const Claim seen = table.Lookup(Subject("notice-42"));
@@ -84,7 +85,8 @@
   CHECK(table.counts().lost_answers_resolved == 1);
 }
 
-TEST_CASE("a finished claim replays its answer to a retry elsewhere") {
+TEST_CASE(
+    "a completed claim replays its answer to a retry on another instance") {
   MemoryStore store;
   ClaimTable a(store, "entry-1");
   ClaimTable b(store, "entry-2");
@@ -98,25 +100,26 @@
   CHECK(replay.result == "{\"output\":\"printed\"}");
 }
 
-TEST_CASE("a claim taken during an outage is released when the store is back") {
-  // The store is down when a claim is tried: the caller hears "not run".
-  // If our create had applied, the key would stay blocked; Recover must
-  // release it so the caller's retry can run.
+TEST_CASE("a claim attempted during an outage is released after the outage") {
+  // Guards against a blocked key: the claim is attempted during a store outage.
+  // The create might have been applied, so RetryPendingClaims must release the
+  // key for the caller's retry.
   MemoryStore store;
   ClaimTable table(store, "entry-1");
   store.SetFaults({.outage = true});
-  CHECK(BeginAndAcquire(table, Subject("k")).state == ClaimState::kStoreDown);
+  CHECK(BeginAndAcquire(table, Subject("k")).state ==
+        ClaimState::kStoreUnreachable);
   store.SetFaults({});
-  table.Recover();
+  table.RetryPendingClaims();
   CHECK(table.pending() == 0);
   CHECK(BeginAndAcquire(table, Subject("k")).state == ClaimState::kOwned);
 }
 
-TEST_CASE("a restarted instance does not take its dead predecessor's claim") {
-  // entry-1 claims a felling recommendation, sends it and dies. It restarts
-  // under its old name (no disks: counters start anew) and the first retry
-  // it sees is for that key. With tokens of name and counter the old claim
-  // looked like its own, and the recommendation was sent twice.
+TEST_CASE("a restarted instance does not own the claim of its previous start") {
+  // Guards against token reuse: an instance claims a key, sends the call and
+  // crashes. It restarts under the same name without local state and receives
+  // the first retry. With tokens made of name and counter the old claim looks
+  // like its own, and the call is sent twice.
   MemoryStore store;
   {
     ClaimTable before(store, "entry-1");
@@ -128,10 +131,11 @@
         ClaimState::kInFlightElsewhere);
 }
 
-TEST_CASE("a create that applies late does not hold the key for ever") {
-  // The store times out on a claim's create. The claim is given up (the read
-  // shows nothing), and only then does the create take effect. The release
-  // must have closed the door, or every retry would hear "in flight".
+TEST_CASE("a create that is applied late does not block the key") {
+  // Guards against a late create: the store times out on a claim's create, the
+  // claim is abandoned after a read finds nothing, and only then is the create
+  // applied. The release record must make the create fail, or every retry would
+  // find the key in flight.
   struct LateStore : MemoryStore {
     turmeric::utils::Result<turmeric::store::StoredObject> Put(
         std::string_view key, std::string_view value,
@@ -150,19 +154,21 @@
   LateStore store;
   ClaimTable table(store, "entry-1");
   store.hold = true;
-  REQUIRE(BeginAndAcquire(table, Subject("k")).state == ClaimState::kStoreDown);
+  REQUIRE(BeginAndAcquire(table, Subject("k")).state ==
+          ClaimState::kStoreUnreachable);
   store.hold = false;
-  table.Recover();
+  table.RetryPendingClaims();
   CHECK_FALSE(
       store.Put(store.late_key, store.late_value, turmeric::store::kAbsent));
   CHECK(BeginAndAcquire(table, Subject("k")).state == ClaimState::kOwned);
 }
 
-TEST_CASE("an older attempt cannot run what was told not to have run") {
-  // A crew's first attempt is slow in its idempotent stages. Its resend
-  // claims the key, finds no upstream, releases it and is told "not run".
-  // The first attempt then reaches its claim: taking the released key, it
-  // would print after all. Only an attempt begun after the release may.
+TEST_CASE("an older attempt cannot run a request answered as not run") {
+  // Guards against running after a "not run" answer: an attempt is slow in its
+  // idempotent stages. Its retry claims the key, finds no upstream, releases
+  // the key and answers "not run". If the slow attempt could then acquire the
+  // released key, that answer would be false. Only an attempt begun after the
+  // release may acquire the key.
   MemoryStore store;
   ClaimTable slow(store, "entry-1");
   ClaimTable resend(store, "entry-2");
@@ -175,9 +181,9 @@
   CHECK(BeginAndAcquire(slow, Subject("k")).state == ClaimState::kOwned);
 }
 
-TEST_CASE("claims are swept once past their time, and not before") {
-  // Claims would fill the store for ever; swept too early, a retry would
-  // print again.
+TEST_CASE("claims are swept after expiry and not before") {
+  // Guards against claims that accumulate in the store, and against a sweep
+  // before expiry, after which a retry would run the request twice.
   MemoryStore store;
   ClaimTable table(store, "entry-1");
   const Claim done = BeginAndAcquire(table, Subject("done"));
@@ -189,9 +195,11 @@
   CHECK(table.Lookup(Subject("done")).state == ClaimState::kDone);
 }
 
-TEST_CASE("an instance sweeps its own claims without listing the store") {
-  // Listing every claim each minute moved megabytes; the instance knows what
-  // it completed. A claim it no longer owns (swept, made anew) is left alone.
+TEST_CASE(
+    "an instance sweeps the claims it completed without listing the store") {
+  // Guards against a listing of all claims every minute, which would transfer
+  // megabytes: the instance has a record of the claims it completed. A claim
+  // that was swept and created again by another owner must stay.
   MemoryStore store;
   ClaimTable table(store, "entry-1");
   for (const char* key : {"a", "b"}) {
@@ -207,9 +215,9 @@
   CHECK(store.Get(Subject("b").key).value().value == "someone else's");
 }
 
-TEST_CASE("qualified keys of different requests never meet") {
-  // "a/b" as an organisation's name or a caller's key must not make two
-  // requests look like one.
+TEST_CASE("qualified keys of different requests differ") {
+  // Guards against ambiguous keys: a "/" in an organisation's name or in an
+  // idempotency key must not give two requests the same qualified key.
   rc::prop("equal only if every part is", [] {
     using turmeric::gateway::QualifiedKey;
     const auto part = rc::gen::container<std::string>(
--- a/libs/gateway/test/drain_end_test.cc
+++ b/libs/gateway/test/drain_end_test.cc
@@ -1,4 +1,5 @@
-// What callers get when a planned stop reaches its end with requests open.
+// Answers to requests that are in flight when a planned stop reaches its drain
+// timeout.
 #include <QSemaphore>
 #include <QTcpSocket>
 #include <catch2/catch.hpp>
@@ -17,22 +18,27 @@
 
 namespace {
 
-/** Shorter than any request below takes; longer than a loop's hiccups. */
+/**
+ * Shorter than the duration of any request below, longer than event-loop
+ * delays.
+ */
 constexpr int kDrainTimeoutMs = 600;
-/** Makes an engine's token take 2 s and a service's answer 3 s. */
+/** Slows an engine to 2 s per token and a service to 3 s per answer. */
 constexpr double kSlow = 1000;
 
-/** A store whose reads of claims named "held" answer only when let go. */
-class HeldStore : public store::MemoryStore {
+/**
+ * A store that blocks reads of claims named "held" until `unblock` is released.
+ */
+class BlockingStore : public store::MemoryStore {
  public:
   utils::Result<store::StoredObject> Get(std::string_view key) override {
-    if (key.ends_with("/held")) let_go.acquire();
+    if (key.ends_with("/held")) unblock.acquire();
     return MemoryStore::Get(key);
   }
-  QSemaphore let_go;
+  QSemaphore unblock;
 };
 
-/** The embedded platform and one instance that stops quickly. */
+/** The embedded platform and one instance with a short drain timeout. */
 struct StoppingInstance {
   StoppingInstance() {
     stack.store = store;
@@ -50,9 +56,11 @@
     REQUIRE(k->StartAll());
     stack.kernels.push_back(std::move(k));
   }
-  ~StoppingInstance() { store->let_go.release(); }
+  ~StoppingInstance() { store->unblock.release(); }
 
-  /** Stops as the daemon does; at the end the process is gone at once. */
+  /**
+   * Stops like the daemon, then closes all connections as a process exit does.
+   */
   void StopAndExit() {
     bool exited = false;
     gateway->Drain([&] {
@@ -63,15 +71,15 @@
     });
     for (int i = 0; i < 500 && !exited; ++i) Wait(10);
     REQUIRE(exited);
-    Wait(50);  // what is on the way reaches the callers
+    Wait(50);  // data in transit reaches the callers
   }
 
-  std::shared_ptr<HeldStore> store = std::make_shared<HeldStore>();
+  std::shared_ptr<BlockingStore> store = std::make_shared<BlockingStore>();
   EmbeddedStack stack;
   GatewayService* gateway = nullptr;
 };
 
-/** One caller's connection and what came back on it. */
+/** Connection of one caller and the bytes received on it. */
 struct Caller {
   explicit Caller(const StoppingInstance& instance) {
     QObject::connect(&reader, &QTimer::timeout,
@@ -88,7 +96,7 @@
                  "Content-Type: application/json\r\nContent-Length: " +
                  QByteArray::number(body.size()) + "\r\n\r\n" + body);
   }
-  /** @return the JSON body of the whole answer, if one came. */
+  /** @return the JSON body of the answer, empty if no answer was received. */
   QJsonObject Answer() const {
     return QJsonDocument::fromJson(
                received.mid(received.indexOf("\r\n\r\n") + 4))
@@ -96,12 +104,14 @@
   }
 
   QTcpSocket socket;
-  QTimer reader;  ///< Reads what is there every millisecond.
+  QTimer reader;  ///< Reads available data every millisecond.
   QByteArray received;
 };
 
-/** Sends its next request as soon as the last is answered, and connects anew
- * whenever its connection is closed, until nobody listens any more. */
+/**
+ * A caller that sends its next request as soon as the last one is answered, and
+ * reconnects whenever its connection is closed, until connections are refused.
+ */
 struct BusyCaller {
   explicit BusyCaller(const StoppingInstance& instance)
       : port(instance.gateway->port()) {
@@ -113,7 +123,7 @@
     QObject::connect(&socket, &QTcpSocket::errorOccurred,
                      [this](QAbstractSocket::SocketError error) {
                        if (error == QAbstractSocket::ConnectionRefusedError) {
-                         nobody_listens = true;
+                         connection_refused = true;
                        }
                      });
     Connect();
@@ -149,17 +159,16 @@
   bool open = false;
   int answered = 0;
   int unanswered = 0;
-  bool nobody_listens = false;
+  bool connection_refused = false;
 };
 
 }  // namespace
 
-TEST_CASE("requests open at the end of a planned stop get a numbered answer") {
-  // An instance is stopped while a notice is being generated, a felling
-  // recommendation is being recorded, and a keyed request still waits for its
-  // claim to be read. None ends within the drain timeout. The process exited
-  // by the clock, and each of them saw its connection closed: neither an
-  // answer nor a refusal.
+TEST_CASE("requests in flight at the end of a planned stop get an error code") {
+  // Guards against requests without any answer at the end of a planned stop:
+  // one request is in an idempotent stage, two have a non-idempotent call ahead
+  // or in flight, and one waits for its claim lookup. None ends within the
+  // drain timeout; all must receive an error answer before the process exits.
   StoppingInstance instance;
   const auto& engines = instance.stack.embedded->engines();
   for (size_t i = 0; i < 3; ++i) engines[i]->SetFaults({.slow_factor = kSlow});
@@ -184,22 +193,22 @@
   CHECK(generating.received.contains("Retry-After: 0\r\n"));
   CHECK(generating.Answer().value("code").toInt() == 2003);
   CHECK(generating.Answer().value("state").toString() == "failed");
-  // Without the claim no attempt may speak for the request.
+  // An attempt without the claim cannot state whether the request ran.
   CHECK(before_claim.Answer().value("code").toInt() == 2003);
   CHECK(before_claim.Answer().value("state").toString() == "unknown");
   CHECK(waiting.received.contains("Retry-After: 0\r\n"));
   CHECK(waiting.Answer().value("code").toInt() == 2003);
   CHECK(waiting.Answer().value("state").toString() == "unknown");
-  // The record may have been made: never "not run".
+  // The non-idempotent call may have run: never "not run".
   CHECK(recording.received.startsWith("HTTP/1.1 502"));
   CHECK(recording.Answer().value("code").toInt() == 4002);
   CHECK(recording.Answer().value("state").toString() == "unknown");
 }
 
-TEST_CASE("a stream midway at the end of a planned stop cannot look complete") {
-  // A panel shows a text as it is generated when its instance is stopped. The
-  // stream outlasts the drain timeout. The panel must hear by number why it
-  // ends, and the stream must lack its end mark; it was cut without a word.
+TEST_CASE("a stream ended by a planned stop does not look complete") {
+  // Guards against a cut stream that looks complete: a stream outlasts the
+  // drain timeout. It must contain the error code, and must lack the
+  // terminating chunk.
   StoppingInstance instance;
   for (const auto& e : instance.stack.embedded->engines()) {
     e->SetFaults({.slow_factor = 25});
@@ -218,37 +227,37 @@
   CHECK(panel.socket.state() == QAbstractSocket::UnconnectedState);
 }
 
-TEST_CASE("a planned stop ends only when its answers have left the process") {
-  // A caller on a thin line reads a long answer slowly while the instance is
-  // stopped. The answer is complete and counts as no longer in flight, but
-  // part of it still lies in the process. The process exited at once, and the
-  // caller was left with the first part of its answer.
+TEST_CASE("a planned stop ends only after all answers are sent") {
+  // Guards against truncated answers: a caller reads a long answer slowly
+  // during a planned stop. The request no longer counts as in flight, but part
+  // of the answer is still buffered in the process, which must not exit before
+  // the buffer is sent.
   StoppingInstance instance;
   REQUIRE(instance.store->Put(
       config::SettingsKey("pipeline", "nilelight", "copy"),
       "stages = encode\nstage.encode.pool = encoder\n", store::kAbsent));
   Wait(50);
-  constexpr int kLong = 16'000'000;      // more than the kernel's buffers take
-  constexpr qint64 kThinBytes = 65'536;  // read at a time
-  const QByteArray input(kLong, 'x');
+  constexpr int kAnswerBytes = 16'000'000;     // exceeds socket buffers
+  constexpr qint64 kReadBufferBytes = 65'536;  // per read
+  const QByteArray input(kAnswerBytes, 'x');
   Caller caller(instance);
-  caller.socket.setReadBufferSize(kThinBytes);
+  caller.socket.setReadBufferSize(kReadBufferBytes);
   caller.reader.stop();
   caller.Send("nilelight/copy", Body("nile-hotels", input.constData()));
   for (int i = 0; i < 500 && caller.socket.bytesAvailable() == 0; ++i) Wait(10);
   REQUIRE(caller.socket.bytesAvailable() > 0);
   caller.reader.start(1);
   instance.StopAndExit();
-  Wait(500);  // what the kernel still holds
-  CHECK(caller.received.size() > kLong);
+  Wait(500);  // data buffered by the kernel
+  CHECK(caller.received.size() > kAnswerBytes);
   CHECK(caller.Answer().value("state").toString() == "ran");
 }
 
-TEST_CASE("a busy connection gets an answer to its last request before exit") {
-  // Panels send one request after the other, each on its kept connection, all
-  // through a planned stop. They are refused until the process exits; the last
-  // request of each, sent whole, got neither an answer nor a refusal, since
-  // nothing had made them let go of their connections.
+TEST_CASE("the last request on a busy connection is answered before exit") {
+  // Guards against unanswered requests on kept connections: callers send one
+  // request after the other during a planned stop. If their connections stayed
+  // open until the exit, the last request on each would get neither an answer
+  // nor a refusal.
   StoppingInstance instance;
   std::vector<std::unique_ptr<BusyCaller>> panels;
   for (int i = 0; i < 4; ++i) {
@@ -260,14 +269,14 @@
   for (const auto& panel : panels) {
     CHECK(panel->answered > 0);
     CHECK(panel->unanswered == 0);
-    CHECK(panel->nobody_listens);
+    CHECK(panel->connection_refused);
   }
 }
 
-TEST_CASE("a planned stop under way does not outlive its instance") {
-  // A load test stops one of its instances and takes it down before the stop
-  // has ended; other instances of the process go on. The stop's timer lived
-  // on without its instance and the next tick brought the whole process down.
+TEST_CASE("a planned stop does not outlive its instance") {
+  // Guards against a use after free: an instance is destroyed before its
+  // planned stop has ended, while other instances of the process continue. A
+  // poll timer that outlived the instance would crash the process.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   bool ended = false;
--- a/libs/gateway/test/path_helpers.h
+++ b/libs/gateway/test/path_helpers.h
@@ -11,10 +11,10 @@
 #include "turmeric/http/http_call.h"
 #include "turmeric/standins/service_standin.h"
 
-/** Helpers shared by the whole-path tests. */
+/** Helpers shared by the end-to-end tests. */
 namespace turmeric::gateway::testing {
 
-/** @return a run request's JSON body. */
+/** @return the JSON body of a run request. */
 inline QByteArray Body(const char* organisation, const char* input,
                        bool idempotent = true, int max_tokens = 4) {
   QJsonObject o{{"organisation", organisation},
@@ -24,26 +24,32 @@
   return QJsonDocument(o).toJson(QJsonDocument::Compact);
 }
 
-/** @return an answer's JSON body. */
+/** @return the JSON body of an answer. */
 inline QJsonObject Json(const http::HttpAnswer& a) {
   return QJsonDocument::fromJson(a.body).object();
 }
 
-/** @return the run URL of a pipeline on one instance. */
+/** @return the URL that runs a pipeline on one instance. */
 inline QString RunUrl(const EmbeddedStack& s, int instance,
                       const char* business, const char* pipeline) {
   return s.Url(instance) + "/v1/pipelines/" + business + "/" + pipeline +
          ":run";
 }
 
-/** @return how often the stand-in services executed idempotency key `key`. */
+/**
+ * @return number of executions of idempotency key `key` by the stand-in
+ *     services.
+ */
 inline int Executions(const EmbeddedStack& stack, const std::string& key) {
   int n = 0;
   for (const auto& s : stack.embedded->services()) n += s->executions(key);
   return n;
 }
 
-/** @param ms time to let the event loop run. */
+/**
+ * Runs the event loop for a fixed time.
+ * @param ms time in ms.
+ */
 inline void Wait(int ms) {
   QEventLoop loop;
   QTimer::singleShot(ms, &loop, &QEventLoop::quit);
--- a/libs/gateway/test/path_test.cc
+++ b/libs/gateway/test/path_test.cc
@@ -1,5 +1,5 @@
-// Whole-path tests: the embedded platform and entry instances in-process,
-// real HTTP on loopback, faults injected at the stand-ins.
+// End-to-end tests: embedded platform and entry instances in one process, HTTP
+// on loopback, faults injected at the stand-ins.
 #include <QElapsedTimer>
 #include <QEventLoop>
 #include <QJsonDocument>
@@ -27,10 +27,10 @@
 using turmeric::http::HttpAnswer;
 using turmeric::http::HttpCall;
 
-TEST_CASE("a planned stop cuts nothing in flight") {
-  // An operator stops an entry instance while receptionists' requests are
-  // being generated. Each request already taken must still get its whole
-  // answer; only requests arriving after the stop are refused, as not run.
+TEST_CASE("a planned stop completes the requests in flight") {
+  // Guards against requests lost in a planned stop: each request admitted
+  // before the stop must receive its complete answer; later requests are
+  // refused as not run.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   for (const auto& e : stack.embedded->engines()) {
@@ -63,9 +63,9 @@
   }
 }
 
-TEST_CASE("a leaving upstream gets no new work after it says so") {
-  // A Nilelight engine is being replaced. After its first refusal no
-  // request may be sent to it again; every notice still gets generated.
+TEST_CASE("an upstream gets no new calls after it refuses as leaving") {
+  // Guards against calls to a leaving engine: after its first refusal it must
+  // receive no more calls, and every request must still run.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   const auto& leaving = stack.embedded->engines()[0];
@@ -81,10 +81,9 @@
   CHECK(leaving->served() == 0);
 }
 
-TEST_CASE("an upstream the instance list marks leaving gets no new work") {
-  // The platform is replacing a Nilelight engine: its instance list says
-  // "leaving" while the engine still answers. If instances kept sending to
-  // it, requests would be cut when it finally stops.
+TEST_CASE("an upstream listed as leaving gets no new calls") {
+  // Guards against calls to an engine that the instance list marks as leaving
+  // while it still answers: they would be cut off when it stops.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   const auto& engine = stack.embedded->engines()[0];
@@ -103,9 +102,9 @@
 }
 
 TEST_CASE("a non-idempotent retry through another instance is replayed") {
-  // A parish crew's app times out and resends its felling recommendation
-  // with the same key; the balancer sends it to another instance. The crew
-  // portal must record it once, and the retry must get the first answer.
+  // Guards against double execution: a caller times out and retries with the
+  // same key through another instance. The operation must run once, and the
+  // retry must receive the first answer.
   EmbeddedStack stack;
   REQUIRE(stack.Start(2));
   QNetworkAccessManager network;
@@ -125,11 +124,10 @@
         1);
 }
 
-TEST_CASE("a store outage refuses non-idempotent work without saying not run") {
-  // The platform's store is down when a notice is to be printed. Nothing is
-  // printed, but the instance cannot see whether an earlier attempt with the
-  // key printed it, so the caller hears "unknown" (never "not run"); its
-  // retry after the outage prints exactly once.
+TEST_CASE("a store outage refuses non-idempotent requests as unknown") {
+  // Guards against a false "not run": during a store outage the instance cannot
+  // read whether an earlier attempt with the key ran. Nothing runs, the caller
+  // receives "unknown", and its retry after the outage runs exactly once.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   QNetworkAccessManager network;
@@ -152,11 +150,10 @@
   CHECK(Executions(stack, "nilelight/nile-hotels/print-notice/notice-9") == 1);
 }
 
-TEST_CASE("a retry is never told not run after an earlier attempt ran") {
-  // Found by the faults scenario (not_run_but_ran = 3): a notice printed
-  // through one instance, whose answer the caller never got; the caller's
-  // retry reached another instance while the store was down (or that
-  // instance was draining) and heard "not run". It had been printed.
+TEST_CASE("a retry never gets not run after an earlier attempt ran") {
+  // Guards against a false "not run": a request ran through one instance, but
+  // the caller did not get the answer. Its retry reaches another instance
+  // during a store outage or a drain and must not receive "not run".
   EmbeddedStack stack;
   REQUIRE(stack.Start(2));
   QNetworkAccessManager network;
@@ -180,7 +177,7 @@
   CHECK(Json(draining).value("state").toString() != "not_run");
 }
 
-TEST_CASE("bad input gets a numbered error and runs nothing") {
+TEST_CASE("bad input gets an error code and runs nothing") {
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   QNetworkAccessManager network;
@@ -206,10 +203,10 @@
   CHECK(Json(race).value("code").toInt() == 6003);
 }
 
-TEST_CASE("a stream cut half way goes on without a doubled token") {
-  // An engine dies after three of eight tokens of a receptionist's streamed
-  // answer. The stream goes on at another engine from the fourth. Before,
-  // the retry began anew and the caller read the first three twice.
+TEST_CASE("a cut stream resumes without duplicate tokens") {
+  // Guards against duplicated tokens: an engine fails after three of eight
+  // tokens. The stream must resume on another engine at the fourth token,
+  // without the first three again.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   const auto& cutting = stack.embedded->engines()[0];
@@ -231,10 +228,10 @@
   CHECK(cutting->received() > 0);
 }
 
-TEST_CASE("a print whose answer is lost is unknown and printed once") {
-  // The panel service prints and its connection drops before it answers.
-  // The caller hears "unknown", never "not run"; its retry under the same
-  // key must not print again.
+TEST_CASE("a non-idempotent call whose answer is lost runs once") {
+  // Guards against double execution: the service executes the call and its
+  // connection drops before the answer. The caller receives "unknown", never
+  // "not run", and its retry with the same key must not execute again.
   EmbeddedStack stack;
   REQUIRE(stack.Start(2));
   for (const auto& s : stack.embedded->services()) {
@@ -253,9 +250,9 @@
   CHECK(executed == 1);
 }
 
-TEST_CASE("a stream that trickles on is answered at its deadline") {
-  // A slow engine sends a token now and then. Qt's transfer timeout starts
-  // anew with each, so the request outlived its deadline many times over.
+TEST_CASE("a slow stream ends at its deadline") {
+  // Guards against streams that outlive the deadline: Qt's transfer timeout
+  // restarts with every token of a slow engine.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   for (const auto& e : stack.embedded->engines()) {
@@ -273,8 +270,8 @@
 }
 
 TEST_CASE("two organisations may use the same idempotency key") {
-  // Two franchisees both number their notices from 1. Before, the second
-  // one's "notice-1" was answered with the first one's room, and not printed.
+  // Guards against a shared claim: two organisations use the same idempotency
+  // key. Each must have its own request run, and receive its own answer.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   QNetworkAccessManager network;
@@ -289,9 +286,9 @@
   }
 }
 
-TEST_CASE("a key used again for another body is refused, not replayed") {
-  // A panel reuses key 7 for a new room. The old room's answer must not be
-  // passed off as the new one's.
+TEST_CASE("a key reused with another input is refused, not replayed") {
+  // Guards against a wrong replay: a key is reused for another input. The
+  // stored answer of the first input must not be returned for the second.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   QNetworkAccessManager network;
@@ -308,9 +305,10 @@
   CHECK(Json(run("room one")).value("state").toString() == "ran");
 }
 
-TEST_CASE("a pipeline that prints cannot be run without a key") {
-  // A caller leaves out "idempotent": false on a pipeline whose print stage
-  // may not be repeated. Run without a claim, its retry printed again.
+TEST_CASE("a pipeline with a non-idempotent stage requires a key") {
+  // Guards against execution without a claim: a caller omits "idempotent":
+  // false for a pipeline with a non-idempotent stage. Without a claim a retry
+  // would execute that stage twice.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   QNetworkAccessManager network;
@@ -324,10 +322,10 @@
   CHECK(executed == 0);
 }
 
-TEST_CASE("a request marked non-idempotent runs once on repeatable stages") {
-  // A franchisee marks a generation as not to be repeated. Its engine fails
-  // after taking it. Retried or hedged inside, or released and run again for
-  // a resend, it would have run twice.
+TEST_CASE("a request marked non-idempotent runs once on idempotent stages") {
+  // Guards against double execution: a caller marks a request on idempotent
+  // stages as non-idempotent, and the engine fails after receiving it. A retry,
+  // a hedged call or a released claim would run it twice.
   EmbeddedStack stack;
   REQUIRE(stack.Start(2));
   for (const auto& e : stack.embedded->engines()) {
@@ -345,9 +343,10 @@
   CHECK(received == 1);
 }
 
-TEST_CASE("an attempt without the claim never says not run") {
-  // A resend finds no generator and ends before its claim, while the first
-  // attempt with its key may be under way elsewhere and print.
+TEST_CASE("an attempt without the claim never answers not run") {
+  // Guards against a false "not run": a retry finds no upstream and ends before
+  // it acquires the claim, while the first attempt with its key may still run
+  // elsewhere.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   for (const auto& e : stack.embedded->engines()) {
@@ -360,10 +359,10 @@
   CHECK(Json(a).value("state").toString() == "unknown");
 }
 
-TEST_CASE("a request that lost its key to another is not told not run") {
-  // Two panels use one key at the same time for different rooms. Both notices
-  // are generated before one of them gets the key. The other was told that
-  // nothing ran, although its notice had been generated.
+TEST_CASE("a request that loses its key to another is answered as failed") {
+  // Guards against a false "not run": two callers use one key at the same time
+  // for different inputs. Both run their idempotent stage before one of them
+  // acquires the key; the other must receive "failed".
   EmbeddedStack stack;
   REQUIRE(stack.Start(2));
   QNetworkAccessManager network;
--- a/libs/gateway/test/stage_call_test.cc
+++ b/libs/gateway/test/stage_call_test.cc
@@ -1,4 +1,4 @@
-// One upstream call against upstreams that misbehave on the wire.
+// A single upstream call to upstreams that violate the protocol or fail.
 #include "turmeric/gateway/stage_call.h"
 
 #include <QNetworkAccessManager>
@@ -14,7 +14,7 @@
 
 namespace {
 
-/** An upstream that answers each POST with what `respond` makes of it. */
+/** An upstream that passes the socket of each request to `respond`. */
 struct RawUpstream {
   explicit RawUpstream(std::function<void(QTcpSocket&)> respond) {
     server.listen(QHostAddress::LocalHost, 0);
@@ -65,10 +65,10 @@
 
 }  // namespace
 
-TEST_CASE("a call whose answer is lost is not sent again by itself") {
-  // A panel prints a notice and its service dies before answering. Qt's
-  // network access sent the POST a second time by itself (1 sent, 2
-  // received), so the panel printed it twice although nothing here retried.
+TEST_CASE("a call whose answer is lost is not resent implicitly") {
+  // Guards against implicit retries: the service executes the call and closes
+  // the connection before it answers. QNetworkAccessManager would resend the
+  // POST on its own, and the service would execute it twice.
   RawUpstream upstream([](QTcpSocket& s) { s.close(); });
   const StageOutcome end = RunCall(SpecFor(upstream));
   CHECK(end.report.result == CallResult::kFailed);
@@ -76,17 +76,17 @@
   CHECK(upstream.received == 1);
 }
 
-TEST_CASE("a refused connection is known not to have run") {
-  RawUpstream gone([](QTcpSocket&) {});
-  StageCallSpec spec = SpecFor(gone);
-  gone.server.close();
+TEST_CASE("a refused connection counts as not run") {
+  RawUpstream unreachable([](QTcpSocket&) {});
+  StageCallSpec spec = SpecFor(unreachable);
+  unreachable.server.close();
   CHECK(RunCall(spec).report.result == CallResult::kNotSent);
 }
 
 TEST_CASE("a body that carries another call's id is not delivered") {
-  // Answers crossed inside an upstream: the header is ours, the body is
-  // another panel's. Before, the body was counted as misdelivered and then
-  // given to the caller all the same.
+  // Guards against crossed answers: the response header carries the id of this
+  // call, the body the id of another. The body must not be delivered to the
+  // caller.
   RawUpstream upstream([](QTcpSocket& s) {
     s.write(Answer(R"({"request_id":"r2/print/1","output":"room 9"})"));
   });
@@ -95,10 +95,10 @@
   CHECK(end.output.empty());
 }
 
-TEST_CASE("a stream that ends early, skips or repeats is not whole") {
-  // An engine ends its stream cleanly after two of the tokens; another
-  // repeats what the caller has; another skips one. The caller must neither
-  // take a cut answer for whole nor see a token twice.
+TEST_CASE("streams with missing or duplicate tokens are detected") {
+  // Guards against incomplete or duplicated streams: an engine ends its stream
+  // after two tokens without an end event, another one sends tokens the caller
+  // already has, another one skips a token.
   auto event = [](int index, const char* text) {
     return QByteArray(R"(data: {"request_id":"r1/print/1","index":)") +
            QByteArray::number(index) + R"(,"text":")" + text + "\"}\n\n";
--- a/libs/gateway/test/upstream_pool_test.cc
+++ b/libs/gateway/test/upstream_pool_test.cc
@@ -34,10 +34,9 @@
 
 }  // namespace
 
-TEST_CASE("a leaving upstream never gets new work") {
-  // The instance list says upstream k is leaving; if Pick still chose it, the
-  // caller would see a cut stream when it goes away moments later. Holds
-  // also when every other member is ejected for failing.
+TEST_CASE("a leaving upstream never gets new calls") {
+  // Guards against calls to a leaving upstream, whose streams are cut when it
+  // stops. Holds also if every other member is ejected.
   rc::prop("never picked once leaving",
            [](uint8_t n, uint8_t k, uint8_t policy, bool others_fail) {
              const int size = n % 8 + 2;
@@ -48,7 +47,7 @@
              if (others_fail) {
                for (const auto& m : members) m->failures = 5;
                for (const auto& m : members) {
-                 m->ejected_till = kStart + seconds(9);
+                 m->ejected_until = kStart + seconds(9);
                }
              }
              std::mt19937_64 rng(k);
@@ -72,10 +71,11 @@
   }
 }
 
-TEST_CASE("latency-aware choice avoids a slow upstream and tries it again") {
-  // One reranker turns 20 times slower. Its queue is short (few calls reach
-  // it), so a choice by queue alone keeps sending it work; by queue times
-  // latency it gets little, and is tried again once its sample is old.
+TEST_CASE(
+    "latency-aware selection avoids a slow upstream and retries it later") {
+  // Guards against a slow upstream with a short queue: selection by queue alone
+  // keeps sending calls to it. Selection by queue times latency avoids it, and
+  // tries it again once its sample is old.
   UpstreamPool pool;
   const auto members = Members(2);
   pool.SetMembers(members);
@@ -94,65 +94,66 @@
   CHECK(pool.Pick(policy, rng, later) == members[0]);
 }
 
-TEST_CASE("a dead upstream does not draw in the traffic") {
-  // An encoder process dies; connections are refused at once. Its queue is
-  // always empty, so it looked least loaded and most calls went to it. After
-  // a few failures it is ejected, then probed one call at a time.
+TEST_CASE("an unreachable upstream does not attract calls") {
+  // Guards against traffic to an unreachable upstream: connections are refused
+  // at once, so its queue is always empty and it appears least loaded. It must
+  // be ejected after a few failures, then probed one call at a time.
   UpstreamPool pool;
   const auto members = Members(3);
   pool.SetMembers(members);
   std::mt19937_64 rng(5);
-  int to_dead = 0;
+  int calls_to_unreachable = 0;
   for (int i = 0; i < 1000; ++i) {
     const auto now = kStart + milliseconds(i);
     const auto pick = pool.Pick(RoutingPolicy::kPowerOfTwoEwma, rng, now);
     OnSend(*pick);
-    const bool dead = pick == members[0];
-    to_dead += dead;
+    const bool unreachable = pick == members[0];
+    calls_to_unreachable += unreachable;
     OnReport(*pick,
-             {dead ? CallResult::kNotSent : CallResult::kOk, dead ? 0.1 : 5, 0},
+             {unreachable ? CallResult::kNotSent : CallResult::kOk,
+              unreachable ? 0.1 : 5, 0},
              now);
   }
-  CHECK(to_dead <= 5);
+  CHECK(calls_to_unreachable <= 5);
   OnSend(*members[0]);
   OnReport(*members[0], {CallResult::kOk, 5, 0}, kStart + seconds(20));
   CHECK_FALSE(IsEjected(*members[0], kStart + seconds(20)));
 }
 
-TEST_CASE("businesses that name a pool alike do not share it") {
-  // Nilelight and Arvoredo both call a pool "encoder". Kept by name alone,
-  // each request replaced the other's members: an upstream that had said it
-  // was leaving got new work again, and queue lengths were lost.
+TEST_CASE("businesses with equal pool names do not share the pool") {
+  // Guards against shared pool state: two businesses use the same pool name.
+  // With pools keyed by name alone, each request would replace the other's
+  // members, and a leaving upstream would receive calls.
   UpstreamPools pools;
   const StageSpec nile = Stage("encoder", {"127.0.0.1:1", "127.0.0.1:2"});
   const StageSpec arvo = Stage("encoder", {"127.0.0.1:3"});
   std::mt19937_64 rng(1);
-  const auto first = pools.For("nilelight", nile).members()[0];
+  const auto first = pools.PoolFor("nilelight", nile).members()[0];
   OnSend(*first);
   OnReport(*first, {CallResult::kRefusedLeaving, 1, -1}, kStart);
   for (int i = 0; i < 20; ++i) {
-    const auto theirs = pools.For("arvoredo", arvo)
-                            .Pick(RoutingPolicy::kPowerOfTwo, rng, kStart);
-    CHECK(theirs->address == "127.0.0.1:3");
-    const auto ours = pools.For("nilelight", nile)
-                          .Pick(RoutingPolicy::kPowerOfTwo, rng, kStart);
-    CHECK(ours->address == "127.0.0.1:2");
+    const auto arvo_pick = pools.PoolFor("arvoredo", arvo)
+                               .Pick(RoutingPolicy::kPowerOfTwo, rng, kStart);
+    CHECK(arvo_pick->address == "127.0.0.1:3");
+    const auto nile_pick = pools.PoolFor("nilelight", nile)
+                               .Pick(RoutingPolicy::kPowerOfTwo, rng, kStart);
+    CHECK(nile_pick->address == "127.0.0.1:2");
   }
 }
 
-TEST_CASE("upstream state survives settings changes, also with calls open") {
-  // An operator shortens a pool while a call to a removed member is open.
-  // Kept by position, the call's end was booked on another member, or past
-  // the end of the list.
+TEST_CASE("upstream state survives settings changes with calls in flight") {
+  // Guards against accounting by position: a settings change removes a member
+  // while a call to it is in flight. The end of the call must not be recorded
+  // on another member.
   UpstreamPools pools;
   const StageSpec before = Stage("p", {"127.0.0.1:1", "127.0.0.1:2"});
-  const UpstreamRef removed = pools.For("b", before).members()[0];
-  const UpstreamRef kept = pools.For("b", before).members()[1];
+  const UpstreamRef removed = pools.PoolFor("b", before).members()[0];
+  const UpstreamRef kept = pools.PoolFor("b", before).members()[1];
   OnSend(*removed);
   OnSend(*kept);
   pools.SetLeaving("127.0.0.1:3", true);
   const StageSpec after = Stage("p", {"127.0.0.1:2", "127.0.0.1:3"});
-  const auto members = pools.For("b", after).members();
+  const auto members = pools.PoolFor("b", after).members();
   CHECK(members[0] == kept);
   CHECK(members[0]->inflight == 1);
   CHECK(members[1]->listed_leaving);
@@ -161,8 +162,9 @@
   CHECK(kept->inflight == 1);
   pools.SetLeaving("127.0.0.1:2", true);
   std::mt19937_64 rng(1);
-  CHECK(pools.For("b", after).Pick(RoutingPolicy::kPowerOfTwo, rng, kStart) ==
-        nullptr);
+  CHECK(
+      pools.PoolFor("b", after).Pick(RoutingPolicy::kPowerOfTwo, rng, kStart) ==
+      nullptr);
 }
 
 }  // namespace turmeric::gateway
