--- a/libs/entry/include/turmeric/entry/answer_check.h
+++ b/libs/entry/include/turmeric/entry/answer_check.h
@@ -6,7 +6,7 @@
 
 namespace turmeric::entry {
 
-/** An answer whose end has been received on its connection. */
+/** An answer that has been received completely, as framed by HTTP. */
 struct CompletedAnswer {
   int status = 0;
   const AnswerInfo& info;
@@ -17,8 +17,9 @@
 /**
  * Decides whether an answer may be forwarded to the caller as the answer of the
  * upstream that the request was sent to.
- * @param answer the answer received. @return the reason against it; empty if it
- *     may be forwarded.
+ * @param answer the answer received.
+ * @return the reason why the answer must not be forwarded; empty if it may be
+ *     forwarded.
  */
 std::string_view AnswerFault(const CompletedAnswer& answer);
 
--- a/libs/entry/include/turmeric/entry/cold_limiter.h
+++ b/libs/entry/include/turmeric/entry/cold_limiter.h
@@ -82,8 +82,8 @@
                                         const std::string& part,
                                         Clock::time_point now);
   /**
-   * Same for a choice that this instance makes without the owner, for example
-   * because the owner did not respond in time.
+   * Admits upstreams for a choice that this instance makes without the owner,
+   * for example because the owner did not respond in time.
    * @param spec a service whose requests are placed by owners, or nullptr.
    * @param now current time.
    * @return filter of the upstreams that may receive one more request.
@@ -91,7 +91,8 @@
   routing::UpstreamFilter AdmitsAsNonOwner(const routing::ServiceSpec* spec,
                                            Clock::time_point now) const;
   /**
-   * Same for a service whose upstreams each instance chooses for itself.
+   * Admits upstreams of a service whose upstreams each instance chooses for
+   * itself.
    * @param spec the service, or nullptr.
    * @param now current time.
    * @return filter of the upstreams that may receive one more request.
--- a/libs/entry/include/turmeric/entry/config_check.h
+++ b/libs/entry/include/turmeric/entry/config_check.h
@@ -39,9 +39,10 @@
   /**
    * @param bound time after its acceptance by which a configuration must be in
    *     force.
-   * @param current_at see CurrentAt; what it refers to must outlive this
+   * @param current_at see CurrentAt; the objects that it uses must outlive this
    *     object.
-   * @param query_store see QueryStore; as above.
+   * @param query_store see QueryStore; the objects that it uses must outlive
+   *     this object.
    */
   ConfigCheck(std::chrono::milliseconds bound, CurrentAt current_at,
               QueryStore query_store);
@@ -58,7 +59,8 @@
   QueryStore query_store_;
   std::vector<Callback> pending_;
   bool query_open_ = false;
-  Clock::time_point confirmed_at_;  ///< As CurrentAt, by calls of this object.
+  /** Time up to which calls of this object confirmed the configuration. */
+  Clock::time_point confirmed_at_;
   std::optional<Clock::time_point> failed_at_;
   QTimer timeout_;
 };
--- a/libs/entry/include/turmeric/entry/drain_policy.h
+++ b/libs/entry/include/turmeric/entry/drain_policy.h
@@ -7,11 +7,11 @@
 /** Deadlines of a planned stop. */
 struct StopSchedule {
   /**
-   * By then each request must have its final answer or a stream that delivers
-   * events.
+   * Time by which each request must have its final answer or a stream that
+   * delivers events.
    */
   std::chrono::steady_clock::time_point last_answers;
-  /** The process exits, even with open requests. */
+  /** Time at which the process exits, even with open requests. */
   std::chrono::steady_clock::time_point exit;
 };
 
@@ -29,7 +29,7 @@
  * it is refused at once, the caller receives it whole from another instance.
  * @param is_long true for streams and requests with stages, which take seconds.
  * @param since_stop time since the stop began.
- * @param grace time from the begin of the stop to the kill.
+ * @param grace time from the start of the stop to the kill.
  * @return true if the request is expected to end before the process exits.
  */
 bool AcceptsWhileStopping(bool is_long, std::chrono::milliseconds since_stop,
--- a/libs/entry/include/turmeric/entry/engine_placement.h
+++ b/libs/entry/include/turmeric/entry/engine_placement.h
@@ -10,8 +10,8 @@
 
 /**
  * The placement of one request on an engine, from the order until the request
- * has ended. Destroying it ends the placement; no callback is called after
- * that.
+ * has ended. Destroying this object ends the placement; no callback is called
+ * afterwards.
  */
 class EnginePlacement {
  public:
--- a/libs/entry/include/turmeric/entry/entry_context.h
+++ b/libs/entry/include/turmeric/entry/entry_context.h
@@ -70,7 +70,7 @@
   WireFormat wire;
   routing::RouteTablePtr table;  ///< Null until the first table was read.
   routing::UpstreamTable upstreams;
-  bool upstreams_known = false;    ///< Set once their list was read.
+  bool upstreams_known = false;    ///< The list of upstreams has been read.
   bool store_unreachable = false;  ///< Calls to the store fail.
   UpstreamClient client;
   RetryBudgets retries;
@@ -78,16 +78,20 @@
   stages::StageTimes stage_times;
   stages::EngineTimes engine_times;
   UsualDeadlines usual_deadlines;
-  RevisionGossip revision_gossip;  ///< With the other instances.
-  BacklogReports backlogs;  ///< Of stage services that other instances own.
-  /** When a planned stop began; nullopt: none has. */
+  /** Exchanges store revisions with the other instances. */
+  RevisionGossip revision_gossip;
+  BacklogReports backlogs;  ///< Queue lengths reported by other instances.
+  /** Start of the planned stop; nullopt: no stop has begun. */
   std::optional<routing::Clock::time_point> stopping_since;
   /** @return the schedule of the planned stop; nullopt: none has begun. */
   std::optional<StopSchedule> stop() const {
     if (!stopping_since) return std::nullopt;
     return ScheduleStop(*stopping_since, settings.stop_grace);
   }
-  /** Parts of the prompts placed by this instance that engines still hold. */
+  /**
+   * Prompt parts that engines are assumed to hold, from placements by this
+   * instance.
+   */
   routing::PromptMemory prompt_memory;
   ConfigCheck* config_check = nullptr;
   StageClient* stages = nullptr;
--- a/libs/entry/include/turmeric/entry/entry_service.h
+++ b/libs/entry/include/turmeric/entry/entry_service.h
@@ -36,7 +36,7 @@
  public:
   /**
    * @param settings settings of this instance.
-   * @param link the platform.
+   * @param link interfaces of the platform.
    */
   EntryService(config::EntrySettings settings, PlatformLink link);
   ~EntryService() override;
@@ -53,7 +53,7 @@
   void Drain(std::function<void()> done);
   /**
    * Applies changed settings; addresses stay as they are.
-   * @param settings the settings as read again.
+   * @param settings the newly read settings.
    */
   void Reload(const config::EntrySettings& settings);
   /** @return bound port for callers. */
--- a/libs/entry/include/turmeric/entry/event_splitter.h
+++ b/libs/entry/include/turmeric/entry/event_splitter.h
@@ -22,8 +22,10 @@
  */
 class EventSplitter {
  public:
-  /** @param bytes next bytes of the body. @return the events completed by
-   * them. */
+  /**
+   * @param bytes next bytes of the body.
+   * @return the events that these bytes complete.
+   */
   std::vector<StreamEvent> Feed(std::string_view bytes);
   /** @return true if part of an event is buffered. */
   bool has_tail() const { return !tail_.empty(); }
--- a/libs/entry/include/turmeric/entry/follow_policy.h
+++ b/libs/entry/include/turmeric/entry/follow_policy.h
@@ -23,13 +23,13 @@
    */
   static constexpr size_t kSources = 2;
 
-  /** Why a relay is no longer followed. */
+  /** State of a followed relay, or the reason why it is no longer followed. */
   enum class Fault {
-    kNone,        ///< It delivers changes, or may still do so.
-    kNoAnswer,    ///< It did not answer the first follow request.
-    kSilent,      ///< Its last status is older than the timeout.
-    kBehind,      ///< It lacks changes that are known here.
-    kSuperseded,  ///< All preferred relays deliver changes.
+    kNone,        ///< No fault found; the first answer may be pending.
+    kNoAnswer,    ///< No answer to the first follow request.
+    kSilent,      ///< The last status is older than the timeout.
+    kBehind,      ///< The relay lacks changes known to this instance.
+    kSuperseded,  ///< All preferred relays deliver changes instead.
   };
   /** A relay that is no longer followed. */
   struct Dropped {
@@ -56,7 +56,7 @@
      * known yet.
      */
     std::optional<std::vector<std::string>> preferred;
-    bool is_relay = false;  ///< Chosen as a relay, or has followers.
+    bool is_relay = false;  ///< This instance is a relay or has followers.
     /** When the store last answered this instance. */
     Clock::time_point store_answered_at;
     /** How long a relay's watch waits at the store when nothing changes. */
--- a/libs/entry/include/turmeric/entry/instance_directory.h
+++ b/libs/entry/include/turmeric/entry/instance_directory.h
@@ -12,10 +12,10 @@
 namespace turmeric::entry {
 
 /**
- * Reads the store's list of instances and registers this one unless the list
- * contains it: frequently at the start, then rarely, from reads that may be
- * stale. Entries of instances that no longer exist stay in the list, so a
- * reader must find out which instances are reachable.
+ * Reads the store's list of instances and registers this instance unless the
+ * list contains it. The list is read frequently at the start, later rarely and
+ * with reads that may be stale. Entries of instances that no longer exist stay
+ * in the list, so a reader must find out which instances are reachable.
  */
 class InstanceDirectory : public QObject {
  public:
--- a/libs/entry/include/turmeric/entry/instance_info.h
+++ b/libs/entry/include/turmeric/entry/instance_info.h
@@ -7,7 +7,7 @@
 
 /** Entry of one instance in the fleet's list. */
 struct InstanceInfo {
-  std::string address;   ///< "ip:port" for other instances.
+  std::string address;   ///< "ip:port" that other instances connect to.
   std::string zone;      ///< Availability zone; empty: not stated.
   double cpu_share = 0;  ///< As a fraction of a core; 0: not stated.
 
--- a/libs/entry/include/turmeric/entry/instance_links.h
+++ b/libs/entry/include/turmeric/entry/instance_links.h
@@ -17,17 +17,18 @@
 
 /** State of an instance as shown by its connection to this instance. */
 enum class Presence {
-  kConnected,     ///< It has connected.
-  kLeaving,       ///< It has begun a planned stop.
+  kConnected,     ///< The connection is open, no planned stop.
+  kLeaving,       ///< The instance has begun a planned stop.
   kDisconnected,  ///< The connection has ended; the instance may reconnect.
 };
 
 /**
  * The other instances of the fleet, their reachability, and the connections
  * that this instance opens to them. Every instance opens one connection to each
- * other, so that all learn at the same time that an instance has started or is
- * stopping. If each found this out by itself, instances would disagree about
- * owners, and the queue of one owner would be at several instances for a while.
+ * other, so that all detect at the same time that an instance has started or is
+ * stopping. If each instance detected this separately, instances would disagree
+ * about owners, and the queue of one owner would be at several instances for a
+ * while.
  */
 class InstanceLinks : public QObject {
  public:
@@ -41,7 +42,10 @@
      *     the instance has failed.
      */
     std::function<void(const std::string& name, bool was_reset)> on_lost;
-    /** @param frame the first frame on a new connection; may be added to. */
+    /**
+     * @param frame the first frame on a new connection; the callback may add to
+     *     it.
+     */
     std::function<void(peer::Frame& frame)> on_connect;
   };
 
@@ -51,7 +55,7 @@
   /** @param events see Events. */
   void set_events(Events events) { events_ = std::move(events); }
   /**
-   * Takes over the fleet's list.
+   * Updates the known instances from the fleet's list.
    * @param fleet all instances, including this one.
    * @param listed true if the store's list contains this instance.
    */
@@ -63,8 +67,8 @@
    */
   void OnPresence(const std::string& name, Presence presence);
   /**
-   * Begins a planned stop: notifies all connected instances; this instance owns
-   * nothing any more.
+   * Begins a planned stop: notifies all connected instances; from then on this
+   * instance owns no keys.
    */
   void Leave();
 
@@ -82,7 +86,10 @@
    *     unknown.
    */
   peer::PeerLink* Open(const std::string& name);
-  /** @param add adds to the next frame to each reachable instance. */
+  /**
+   * @param add called with the next frame to each reachable instance, to add to
+   *     it.
+   */
   void Broadcast(const std::function<void(peer::Frame& frame)>& add);
   /**
    * @param name name of another instance.
@@ -106,10 +113,13 @@
     std::string address;
     peer::PeerLink* link = nullptr;
     bool leaving = false;
-    bool unreachable = false;  ///< Owns nothing until it responds again.
+    bool unreachable = false;  ///< Not an owner until it responds again.
     int failures = 0;          ///< Consecutive failed connections.
     Clock::time_point retry_at;
-    /** When it would last have been an owner, had it been reachable. */
+    /**
+     * Last time at which a key was looked up that the instance would own if it
+     * were reachable.
+     */
     Clock::time_point wanted_at;
   };
 
--- a/libs/entry/include/turmeric/entry/placement_coordinator.h
+++ b/libs/entry/include/turmeric/entry/placement_coordinator.h
@@ -43,8 +43,8 @@
   void OnPromptRead(const std::string& identity, uint64_t ticket);
   /**
    * Ends a placement and records the outcome for later choices. Without the
-   * outcome, an engine that has crashed would attract the requests of the whole
-   * fleet: it ends its requests at once and therefore seems idle.
+   * outcome, an engine that has crashed would be chosen for the requests of the
+   * whole fleet: it ends its requests at once and therefore seems idle.
    * @param identity see Place. If empty, the outcome is not recorded here,
    *     because this instance records the outcomes of its own sends itself.
    * @param end the request and the outcome of its send.
--- a/libs/entry/include/turmeric/entry/platform_link.h
+++ b/libs/entry/include/turmeric/entry/platform_link.h
@@ -21,15 +21,19 @@
   WireFormat wire;
   std::unique_ptr<store::ObjectSource> source;
   std::string config_kind;     ///< Kind of the operator's configuration.
-  std::string config_name;     ///< Name of the only object that holds it.
+  std::string config_name;     ///< Name of the configuration object.
   std::string upstreams_kind;  ///< Kind of the entries of upstreams.
   /**
    * Kind of the operator's entries for evacuation: each names a zone whose
-   * upstreams receive nothing new while the entry exists.
+   * upstreams receive no new requests while the entry exists.
    */
   std::string evacuations_kind;
-  std::string instances_kind;  ///< Written by instances: list of the fleet.
-  /** Written by instances: requests that crash the upstreams that run them. */
+  /** Kind of the entries that instances write to form the fleet's list. */
+  std::string instances_kind;
+  /**
+   * Kind of the entries that instances write for requests that crash the
+   * upstreams that run them.
+   */
   std::string quarantine_kind;
   std::function<std::optional<routing::RouteTable>(const QJsonObject&)>
       decode_table;
--- a/libs/entry/include/turmeric/entry/request_admission.h
+++ b/libs/entry/include/turmeric/entry/request_admission.h
@@ -20,7 +20,7 @@
   kStoreUnreachable,  ///< As kNotReady, and the store does not answer.
   kNoRoute,           ///< No route of the host matches the path.
   kStopping,          ///< The request would outlast this process.
-  kUnknownKey,  ///< The route needs a key, and no organisation has this one.
+  kUnknownKey,        ///< The route needs a key; no organisation has this key.
   /** No matching route or key in a configuration that may be stale. */
   kConfigUnconfirmed,
 };
@@ -40,13 +40,15 @@
 struct Admission {
   AdmissionRefusal refusal = AdmissionRefusal::kNone;
   const routing::Route* route = nullptr;  ///< Lives as long as the table.
-  std::string organisation;               ///< Of the caller; empty: none.
-  int rank = 0;                      ///< Priority class; 0 is served first.
+  std::string organisation;  ///< Organisation of the caller; empty: none.
+  int rank = 0;              ///< Priority class; 0 is served first.
   routing::Clock::time_point limit;  ///< When the final answer is due.
-  /** When a stream that has begun is aborted; not before `limit`. */
+  /** Time at which a stream that has begun is aborted; not before `limit`. */
   routing::Clock::time_point stream_limit;
-  /** When the answer must have begun; later the caller has disconnected or
-   * this process has ended. */
+  /**
+   * Time by which the answer must have begun; later the caller has disconnected
+   * or this process has ended.
+   */
   routing::Clock::time_point first_byte_limit;
 };
 
--- a/libs/entry/include/turmeric/entry/request_quarantine.h
+++ b/libs/entry/include/turmeric/entry/request_quarantine.h
@@ -31,7 +31,7 @@
 
 /** A request whose exchange with an upstream ended without a whole answer. */
 struct InterruptedRequest {
-  std::string fingerprint;  ///< Of the request.
+  std::string fingerprint;  ///< Fingerprint of the request.
   bool progressed = false;  ///< Part of its answer had been received.
 };
 
@@ -74,8 +74,10 @@
   /** @param fingerprint of a request. @return true if it must run on another
    * upstream than other suspect requests. */
   bool IsSuspect(std::string_view fingerprint) const;
-  /** @param fingerprint of a request. @return number of upstreams that have
-   * crashed under it. */
+  /**
+   * @param fingerprint of a request.
+   * @return number of upstreams that have crashed while running it.
+   */
   int crash_count(std::string_view fingerprint) const;
 
   /** Rewrites recent objects, when the store begins a new era: it has then lost
--- a/libs/entry/include/turmeric/entry/request_run.h
+++ b/libs/entry/include/turmeric/entry/request_run.h
@@ -84,8 +84,11 @@
   /** Retries or fails after the probe has shown whether the upstream has
    * ended. */
   void AfterCrashProbe(std::string_view why);
-  /** Answers the request if it is quarantined, as upstreams crashed under it.
-   * @return true if it is quarantined. */
+  /**
+   * Answers the request if it is quarantined because upstreams crashed while
+   * running it.
+   * @return true if it is quarantined.
+   */
   bool AnswerIfQuarantined();
   /** Decides on a retry and spends its credit.
    * @return true if the request may be retried. */
--- a/libs/entry/include/turmeric/entry/result_releaser.h
+++ b/libs/entry/include/turmeric/entry/result_releaser.h
@@ -19,8 +19,10 @@
 class ResultReleaser : public QObject {
  public:
   /**
-   * Called when a release call has ended: the results no longer occupy memory
-   * of the upstream that holds them.
+   * Called when a release call has ended, also if it failed: the results are
+   * then no longer counted as used memory of the upstream. Not called for an
+   * upstream that receives no release call because it is evacuated or no longer
+   * known.
    */
   using ReleasedCallback = std::function<void(
       const std::string& shard, const std::vector<std::string>& handles)>;
--- a/libs/entry/include/turmeric/entry/stage_client.h
+++ b/libs/entry/include/turmeric/entry/stage_client.h
@@ -35,7 +35,7 @@
   /**
    * Takes credit from the retry budget for pieces that may already have run.
    * @param service a stage's service.
-   * @param request id of the request whose pieces they are.
+   * @param request id of the request that the pieces belong to.
    * @param pieces number of pieces.
    * @return true if the retry budget sufficed and the pieces may be run again.
    */
--- a/libs/entry/include/turmeric/entry/stage_dispatcher.h
+++ b/libs/entry/include/turmeric/entry/stage_dispatcher.h
@@ -59,8 +59,9 @@
    */
   std::map<std::string, double> Backlogs() const;
   /**
-   * @return the same for all shards, including fresh reports of the instances
-   *     that own the others.
+   * @return number of calls waiting for each upstream, by shard, for all
+   *     shards, including fresh reports of the instances that own the other
+   *     shards.
    */
   std::map<std::string, double> KnownBacklogs() const;
 
--- a/libs/entry/include/turmeric/entry/store_sharing.h
+++ b/libs/entry/include/turmeric/entry/store_sharing.h
@@ -91,7 +91,8 @@
   std::optional<std::vector<std::string>> preferred_;
   bool ranked_relay_ = false;
   std::string_view watch_why_;
-  Clock::time_point relayed_config_at_;  ///< By statuses of relays only.
+  /** As config_current_at(), but from the statuses of relays only. */
+  Clock::time_point relayed_config_at_;
   Clock::time_point follow_sent_at_;
   Clock::time_point heartbeat_sent_at_;
   QTimer check_timer_;
--- a/libs/entry/include/turmeric/entry/topology_feed.h
+++ b/libs/entry/include/turmeric/entry/topology_feed.h
@@ -37,7 +37,7 @@
 
   /**
    * @param context state that is kept up to date.
-   * @param link the platform.
+   * @param link interfaces of the platform.
    */
   TopologyFeed(EntryContext& context, PlatformLink& link);
   ~TopologyFeed() override;
--- a/libs/entry/include/turmeric/entry/upstream_choice.h
+++ b/libs/entry/include/turmeric/entry/upstream_choice.h
@@ -40,11 +40,14 @@
 struct LocalChoice {
   const std::string& service;
   const std::string& work;  ///< Fingerprint of the request.
-  /** Requests to the service are normally placed by the owners of its cells. */
+  /**
+   * True if requests to the service are normally placed by the owners of its
+   * cells.
+   */
   bool has_owner = false;
   /**
-   * The request is suspected of crashing upstreams and must be kept apart from
-   * other suspects.
+   * True if the request is suspected of crashing upstreams and must be kept
+   * apart from other suspects.
    */
   bool suspect = false;
 };
--- a/libs/entry/include/turmeric/entry/usual_deadlines.h
+++ b/libs/entry/include/turmeric/entry/usual_deadlines.h
@@ -10,13 +10,13 @@
 
 /**
  * Distinguishes retrying callers from new ones by their deadlines: a caller
- * states the time that it has left, and one that retries after a refusal states
- * less than is usual for the route. Its latency target still counts from its
- * first attempt. Without the distinction, under sustained overload retrying
+ * states the time that it has left, and a caller that retries after a refusal
+ * states less than is usual for the route. Its latency target still counts from
+ * its first attempt. Without the distinction, under sustained overload retrying
  * callers would be served before callers that can still be served in time, and
  * then both would be late. A caller with a much shorter deadline than others is
- * treated as retrying; it is served after those that are not, but only while
- * there are more requests than can be served in time.
+ * treated as retrying: it is served after new callers, but only while there are
+ * more requests than can be served in time.
  */
 class UsualDeadlines {
  public:
--- a/libs/entry/include/turmeric/entry/wire_format.h
+++ b/libs/entry/include/turmeric/entry/wire_format.h
@@ -27,7 +27,7 @@
   std::string method;
   std::string target;
   std::string host;
-  std::vector<http::HeaderField> headers;  ///< Those forwarded unchanged.
+  std::vector<http::HeaderField> headers;  ///< Forwarded unchanged.
   std::string body;
   std::optional<std::chrono::milliseconds> deadline;  ///< Time left on arrival.
   std::string key;  ///< API key of the organisation; empty if none was sent.
@@ -59,8 +59,9 @@
   std::string attempt_id;    ///< The request it answers; empty: not stated.
   bool not_run = false;      ///< States that the request has not run.
   bool has_receipt = false;  ///< Carries the upstream's receipt.
-  bool encoded = false;      ///< The body is not the upstream's own bytes.
-  std::optional<int> load;   ///< Requests in flight and queued there.
+  /** The body is encoded, so its bytes are not the upstream's own. */
+  bool encoded = false;
+  std::optional<int> load;  ///< Requests in flight and queued at the upstream.
 };
 
 /** One call for stage work. */
--- a/libs/entry/src/answer_check.cc
+++ b/libs/entry/src/answer_check.cc
@@ -27,7 +27,8 @@
       answer.status < kFirstRedirect || MeansNotRun(answer.status);
   if (needs_receipt && !is_from_upstream) return "answer_without_receipt";
   // Guard: an upstream that crashes may end its body correctly but inside an
-  // event. Forwarded as complete, the stream would lack its rest unnoticed.
+  // event. If the stream were forwarded as complete, the caller could not
+  // detect that its end is missing.
   if (answer.is_event_stream && answer.inside_event) {
     return "stream_cut_in_event";
   }
--- a/libs/entry/src/caller_answer.cc
+++ b/libs/entry/src/caller_answer.cc
@@ -7,8 +7,10 @@
 
 namespace {
 
-/** Unsent bytes to a slow caller from which reading from its upstream pauses;
- * it resumes once all of them have been sent. */
+/**
+ * Number of bytes not yet sent to a slow caller at which reading from its
+ * upstream pauses; reading resumes once all of them have been sent.
+ */
 constexpr size_t kPauseThresholdBytes = 256 * 1024;
 
 }  // namespace
--- a/libs/entry/src/engine_placer.cc
+++ b/libs/entry/src/engine_placer.cc
@@ -21,8 +21,9 @@
 namespace {
 
 /**
- * The round trip takes a few milliseconds, and the owner's choice can save some
- * tens of milliseconds of waiting.
+ * Time limit for the owner's answer to an order. The round trip takes a few
+ * milliseconds, and the owner's choice can save some tens of milliseconds of
+ * waiting.
  */
 constexpr milliseconds kOwnerTimeout{60};
 
@@ -72,8 +73,8 @@
   if (!overdue_timer_.isActive()) overdue_timer_.start(kOwnerTimeout);
 }
 
-// The owner may choose upstreams that have left since or that fail when this
-// instance uses them.
+// The owner may choose upstreams that have been removed since or that fail when
+// this instance uses them.
 bool EnginePlacer::IsUsable(const OpenPlacement& open,
                             const UpstreamPtr& engine) const {
   const auto now = Clock::now();
--- a/libs/entry/src/follow_policy.cc
+++ b/libs/entry/src/follow_policy.cc
@@ -81,9 +81,9 @@
     return now - source.requested_at > kFirstAnswerTimeout ? Fault::kNoAnswer
                                                            : Fault::kNone;
   }
-  // A frozen or disconnected instance keeps its TCP connections open. Its
-  // followers would apply an outdated configuration until it resumes, long
-  // after other instances have the new one.
+  // An instance that is frozen or cut off from the network keeps its TCP
+  // connections open. Its followers would apply an outdated configuration until
+  // it resumes, long after other instances have the new one.
   if (now - *source.last_status_at > kStatusTimeout) return Fault::kSilent;
   if (source.behind_since && now - *source.behind_since > kBehindTimeout) {
     return Fault::kBehind;
--- a/libs/entry/src/instance_links.cc
+++ b/libs/entry/src/instance_links.cc
@@ -15,7 +15,10 @@
 
 namespace {
 
-/** Enough to distinguish the incarnations of one instance. */
+/**
+ * Random hex digits in the identity of an instance, to distinguish its process
+ * starts.
+ */
 constexpr size_t kIncarnationDigits = 8;
 /**
  * Delay before a new attempt to connect to an unreachable instance, doubled
@@ -49,7 +52,8 @@
     const bool is_new = !instances_.contains(name);
     Instance& instance = instances_[name];
     instance.address = info.address;
-    // The first connection tells the peer instance that this one has started.
+    // The first connection notifies the peer instance that this one has
+    // started.
     if (is_new) Connect(name, instance).outgoing();
   }
   context_.retries.OnFleetList(
@@ -158,10 +162,10 @@
 
 void InstanceLinks::OnEnd(const std::string& name, std::string_view why) {
   Instance& instance = instances_[name];
-  // A connection reset does not mean that the instance has failed. If it were
-  // marked as unreachable, its pieces would be run twice, and for seconds two
-  // owners would each form half-filled calls. The instance is connected to
-  // again instead.
+  // A reset connection does not mean that the instance has failed, so the
+  // instance is not marked as unreachable: otherwise its pieces would be run
+  // twice, and for seconds two owners would each send half-full batches. The
+  // next frame to the instance opens a new connection.
   const bool was_reset = instance.link->heard() && !instance.link->silent();
   std::exchange(instance.link, nullptr)->deleteLater();
   instance.leaving = false;
@@ -182,9 +186,9 @@
   events_.on_lost(name, false);
 }
 
-// An unreachable instance must respond to a greeting before it owns anything
-// again. If work itself were sent as a probe, each attempt at an instance that
-// has exited would delay requests until the connection attempt fails.
+// An unreachable instance must respond to a greeting before it becomes an owner
+// again. If pieces or orders were sent as a probe, each attempt at an instance
+// that has exited would delay requests until the connection attempt fails.
 void InstanceLinks::RetryUnreachable() {
   const auto now = Clock::now();
   bool any_wanted = false;
--- a/libs/entry/src/peer_server.cc
+++ b/libs/entry/src/peer_server.cc
@@ -18,7 +18,10 @@
 
 namespace {
 
-/** An instance that has not reconnected within this time is considered gone. */
+/**
+ * An instance that has not reconnected within this time is assumed to have
+ * ended.
+ */
 constexpr milliseconds kReconnectGrace{1000};
 /**
  * Time within which a sent result has reached its receiver: with a small CPU
@@ -215,8 +218,8 @@
                       !it->second->orders[ticket].cancelled;
   if (it != peers_.end()) it->second->orders.erase(ticket);
   if (!wanted) {
-    // The piece was cancelled or its instance is gone: release its result,
-    // as no other instance will.
+    // The piece was cancelled or the instance that sent it has ended: release
+    // its result, as no other instance will.
     if (result.failure == PieceFailure::kNone) {
       local_.Release(service, {result.handle});
     }
--- a/libs/entry/src/placement_coordinator.cc
+++ b/libs/entry/src/placement_coordinator.cc
@@ -74,8 +74,8 @@
   if (book == books_.end()) return;
   const UpstreamPtr engine = book->second.End(end.ticket);
   if (!engine || identity.empty() || !end.outcome) return;
-  // The latency is not known to this instance, and engines are not chosen by
-  // it.
+  // The latency of the send is not known to this instance, so the latency
+  // recorded before is passed again; engines are not chosen by latency.
   context_.RecordOutcome(*engine, *end.outcome, engine->latency_ms);
 }
 
--- a/libs/entry/src/relay_choice.cc
+++ b/libs/entry/src/relay_choice.cc
@@ -13,7 +13,10 @@
 
 /** Instances of a zone per relay; each instance follows two relays. */
 constexpr size_t kInstancesPerRelay = 16;
-/** Relays of a zone at least, so that changes keep arriving when one fails. */
+/**
+ * Minimum number of relays of a zone, so that changes keep arriving when one
+ * fails.
+ */
 constexpr size_t kMinRelays = 2;
 /**
  * Maximum number of instances of the zone that are followed in place of its
--- a/libs/entry/src/request_admission.cc
+++ b/libs/entry/src/request_admission.cc
@@ -18,10 +18,12 @@
 
 /** Time for an answer to reach the caller before its deadline. */
 constexpr milliseconds kAnswerTransitTime{15};
-/** A caller that receives a stream disconnects by itself at its deadline. If
- * the disconnect is lost, the stream is aborted so long after the deadline:
- * more than a round trip with one lost packet, less than half a second of
- * useless work. */
+/**
+ * A caller that receives a stream disconnects by itself at its deadline. If the
+ * disconnect is lost, the stream is aborted this long after the deadline: more
+ * than a round trip with one lost packet, less than half a second of useless
+ * work.
+ */
 constexpr milliseconds kDisconnectGrace{250};
 /** Rank of an organisation without a priority; 0 is served first. */
 constexpr int kDefaultOrganisationRank = 1;
--- a/libs/entry/src/request_quarantine.cc
+++ b/libs/entry/src/request_quarantine.cc
@@ -76,7 +76,8 @@
                       .at = at,
                       .progressed = request.progressed};
     if (!Record(crash, kSourceThisInstance)) continue;
-    // All crashes of the request, as other instances may lack some of them.
+    // Send all crashes of the request, as other instances may lack some of
+    // them.
     std::ranges::move(ledger_.CrashesOf(request.fingerprint),
                       std::back_inserter(crashes_to_send));
     if (archive_ && RemainingQuarantine(request.fingerprint)) {
--- a/libs/entry/src/request_run.cc
+++ b/libs/entry/src/request_run.cc
@@ -37,7 +37,10 @@
 constexpr int kUnavailable = 503;
 constexpr int kGatewayTimeout = 504;
 
-/** Outcome of a request that is refused because upstreams crash under it. */
+/**
+ * Outcome of a request that is refused because upstreams crash while running
+ * it.
+ */
 constexpr std::string_view kQuarantined = "quarantined";
 
 /** Time from the send of a request until its engine has fetched the inputs,
@@ -207,7 +210,8 @@
   if (failure != PieceFailure::kLate) {
     return Refuse("stage_failed", RetryAfter::kSoon);
   }
-  // Late only because this process stops; another instance has more time.
+  // The stage is late only because this process is stopping; another instance
+  // has more time.
   if (context_.stop()) return Refuse("stopping", RetryAfter::kImmediately);
   Refuse("stage_failed", RetryAfter::kAfterOverload);
 }
@@ -258,7 +262,8 @@
 
 void RequestRun::SendTo(const routing::UpstreamPtr& upstream) {
   if (TimeLeft() <= milliseconds(0)) return OnTimeLimit();
-  // Upstreams may have crashed under copies of the request during its stages.
+  // Upstreams may have crashed while running copies of the request during its
+  // stages.
   if (AnswerIfQuarantined()) return;
   if (!upstream) {
     if (WaitForCapacity()) return;
@@ -288,7 +293,8 @@
 int RequestRun::ConnectionLimit() const {
   const routing::ServiceSpec* spec = table_->FindService(service_);
   if (spec == nullptr) return 0;
-  // One until the fleet size is known, as any larger share could be too large.
+  // One connection until the fleet size is known, as any larger share could be
+  // too large.
   const int instances = context_.retries.listed_instances();
   return instances == 0 ? 1 : std::max(1, spec->max_connections / instances);
 }
--- a/libs/entry/src/result_releaser.cc
+++ b/libs/entry/src/result_releaser.cc
@@ -44,8 +44,9 @@
   const UpstreamPtr holder =
       context_.upstreams.FindAt(stages::ParseShard(shard).service, address);
   // A result does not outlive the process that made it, so there is nothing to
-  // release if the upstream is gone. An upstream in an evacuated zone receives
-  // no calls; it drops its results when their retention time ends.
+  // release if the upstream is no longer known. An upstream in an evacuated
+  // zone receives no calls; it drops its results when their retention time
+  // ends.
   if (!holder || holder->evacuated) return;
   const std::string request = context_.wire.encode_release(address, handles);
   auto exchange = std::make_shared<std::shared_ptr<UpstreamExchange>>();
--- a/libs/entry/src/stage_dispatcher.cc
+++ b/libs/entry/src/stage_dispatcher.cc
@@ -32,8 +32,8 @@
  */
 constexpr int kMaxSends = 3;
 /**
- * Interval of the check for late pieces that no call will reach: a fraction of
- * the duration of a call.
+ * Interval of the check for late pieces that no call is expected to take before
+ * their deadlines: a fraction of the duration of a call.
  */
 constexpr std::chrono::milliseconds kLateCheckInterval{50};
 /**
--- a/libs/entry/src/stage_router.cc
+++ b/libs/entry/src/stage_router.cc
@@ -158,7 +158,7 @@
     const routing::UpstreamPtr producer = context_.upstreams.FindAt(
         service, context_.wire.handle_address(handle));
     // A result does not outlive the process that made it, so there is nothing
-    // to release if that upstream is gone.
+    // to release if that upstream is no longer known.
     if (!producer) continue;
     by_shard[stages::ShardOfUpstream(*producer, upstreams)].push_back(
         std::move(handle));
--- a/libs/entry/src/stage_run.cc
+++ b/libs/entry/src/stage_run.cc
@@ -26,8 +26,9 @@
  */
 constexpr milliseconds kMinTimeForRestart{800};
 /**
- * Results of at least this size are made in the zone of the engine that will
- * read them.
+ * Approximate size of one result from which a stage runs in the zone of the
+ * engine that is expected to read its results, unless the zone that holds its
+ * large inputs determines where it runs.
  */
 constexpr int64_t kMinEngineZoneBytes = 500 * 1000;
 
@@ -53,8 +54,8 @@
 
 // Guard: an upstream process that restarts under the same id has lost its
 // results and numbers its handles from the beginning. A handle of the previous
-// process may now name a result of another request, and would supply a foreign
-// input.
+// process may now name a result of another request, which would be used as an
+// input of this one.
 bool StageRun::AnyLost(std::span<const std::string> handles) const {
   return std::ranges::any_of(handles, [this](const std::string& handle) {
     const auto it = producers_.find(handle);
--- a/libs/entry/src/topology_feed.cc
+++ b/libs/entry/src/topology_feed.cc
@@ -60,7 +60,7 @@
         std::make_unique<store::Reflector>(*link.source, name, EventsOf(kind));
     kinds_[kind].reflector->set_watch_wait([this, kind = kind] {
       const auto wait = watch_wait();
-      // A lost watch must be detected well within the bound.
+      // A lost watch must be detected well within the evacuation bound.
       if (kind != StoreKind::kEvacuations) return wait;
       return std::min(wait,
                       context_.settings.evacuation_bound - kLossDetectionTime);
@@ -232,8 +232,8 @@
   const bool is_first = !replica.synced();
   const store::Position before = replica.revision();
   const auto changes = replica.MergeList(list);
-  // A list that is older than the changes from other instances contains nothing
-  // new.
+  // A list that is older than the changes from other instances contains no new
+  // changes.
   if (!changes) return;
   const bool from_copy =
       !is_first && NoteEra(kind, before, replica.revision(), kStoreSource);
--- a/libs/entry/src/upstream_client.cc
+++ b/libs/entry/src/upstream_client.cc
@@ -113,8 +113,8 @@
         --upstream->in_flight;
         ReturnToPool(connection, upstream);
       });
-  // The connection's callbacks hold the exchange weakly: its owner may drop it
-  // at any time, which cancels it.
+  // The connection's callbacks hold the exchange weakly: its owner may destroy
+  // it at any time, which cancels it.
   const std::weak_ptr<UpstreamExchange> weak = exchange;
   http::ExchangeEvents wrapped;
   wrapped.on_head = std::move(events.on_head);
--- a/libs/entry/src/upstream_criteria.cc
+++ b/libs/entry/src/upstream_criteria.cc
@@ -19,7 +19,8 @@
  */
 constexpr int kLargeInputZoneMs = 150;
 /**
- * Extra waiting accepted to avoid another zone otherwise, ms: the round trip.
+ * Extra waiting accepted to stay in the zone of this instance for a service
+ * that is not an engine service, ms: the round trip.
  */
 constexpr double kOtherZoneMs = 2;
 
--- a/libs/entry/test/answer_check_test.cc
+++ b/libs/entry/test/answer_check_test.cc
@@ -51,8 +51,8 @@
 }
 
 // Guards against an incomplete stream: an upstream stops in the middle of an
-// event and still ends its body correctly. Forwarded as complete, the stream
-// would lack its rest without the caller's notice.
+// event and still ends its body correctly. If the stream were forwarded as
+// complete, the caller could not detect that its end is missing.
 TEST_CASE("a stream that ends inside an event is not complete") {
   REQUIRE(AnswerFault({.status = 200,
                        .info = InfoWithReceipt(),
--- a/libs/entry/test/cold_fleet_test.cc
+++ b/libs/entry/test/cold_fleet_test.cc
@@ -54,7 +54,7 @@
 struct FaultIntervals {
   int restart = 0;            ///< Steps between restarts of an instance.
   int isolate = 0;            ///< Steps between isolations of an instance.
-  bool per_instance = false;  ///< Faults of each instance.
+  bool per_instance = false;  ///< The intervals apply to each instance.
   /** A starting instance reads the list of instances only some time later. */
   bool late_list = false;
 };
--- a/libs/entry/test/config_check_test.cc
+++ b/libs/entry/test/config_check_test.cc
@@ -24,7 +24,7 @@
  */
 struct Store {
   std::vector<ConfigCheck::Callback> calls;
-  ConfigCheck::Clock::time_point current_at;  ///< By relays.
+  ConfigCheck::Clock::time_point current_at;  ///< As reported by relays.
   ConfigCheck check{
       kBound, [this] { return current_at; },
       [this](ConfigCheck::Callback callback) { calls.push_back(callback); }};
--- a/libs/entry/test/crash_fleet_test.cc
+++ b/libs/entry/test/crash_fleet_test.cc
@@ -173,12 +173,14 @@
     EngineFleet engines(seed, harmful_requests);
     for (int step = 0; step < 3000; ++step) engines.Step();
     CAPTURE(seed, harmful_requests);
-    // Three crashes per request, and those by copies already in flight.
+    // The bound is three crashes per harmful request, plus as many by copies
+    // already in flight.
     REQUIRE(engines.crashed() <= harmful_requests * 6);
     harmless += engines.harmless();
     harmless_refused += engines.harmless_refused();
   }
-  // Fewer than one in a thousand, while engines crash.
+  // Fewer than one in a thousand harmless requests are refused while engines
+  // crash.
   REQUIRE(harmless_refused * 1000 < harmless);
 }
 
--- a/libs/entry/test/relay_protocol_test.cc
+++ b/libs/entry/test/relay_protocol_test.cc
@@ -46,7 +46,8 @@
 constexpr milliseconds kHeartbeatInterval{1000};
 constexpr milliseconds kFollowInterval{1500};
 /**
- * A change is known within this wherever a working path to the store exists.
+ * Time within which a change is known to every instance that has a working path
+ * to the store.
  */
 constexpr milliseconds kBound{3500};
 
@@ -159,7 +160,7 @@
   Clock::time_point store_answered_at;
   Clock::time_point frozen_until;
   Clock::time_point store_cut_until;
-  Clock::time_point fault_ended_at;  ///< Of its last fault.
+  Clock::time_point fault_ended_at;  ///< End of the last fault.
   bool watches = false;
   bool catch_up = false;
   milliseconds phase{0};
@@ -261,7 +262,7 @@
         nodes_, [](const auto& entry) { return entry.second.watches; });
   }
 
-  bool store_cuts = false;  ///< Single instances lose the store, too.
+  bool store_cuts = false;  ///< Some instances lose their path to the store.
 
  private:
   void Start(std::string name) {
@@ -424,7 +425,7 @@
 
 /** Faults of the store that are simulated besides those of instances. */
 struct StoreFaults {
-  bool cuts = false;      ///< Single instances lose the store.
+  bool cuts = false;      ///< Some instances lose their path to the store.
   bool restores = false;  ///< The store is restored from an older copy.
 };
 
@@ -471,8 +472,8 @@
   }));
 }
 
-// As above, with instances, also relays, that lose only the store: once the
-// faults are over, all instances know all changes.
+// As above, with instances, also relays, that lose only their path to the
+// store: once the faults are over, all instances know all changes.
 TEST_CASE("after faults of the store all instances are up to date") {
   REQUIRE(rc::check("faults of the store as well", [] {
     FleetSimulation sim(*rc::gen::inRange(2, 9),
