--- a/libs/entry/src/piece_call.cc
+++ b/libs/entry/src/piece_call.cc
@@ -32,8 +32,9 @@
       bytes_(std::transform_reduce(
           spec_.pieces.begin(), spec_.pieces.end(), int64_t{0}, std::plus<>(),
           [](const QueuedPiece& q) { return q.piece.result_bytes; })) {
-  for (QTimer* timer : {&timeout_timer_, &input_fetch_timer_})
+  for (QTimer* timer : {&timeout_timer_, &input_fetch_timer_}) {
     timer->setSingleShot(true);
+  }
   connect(&timeout_timer_, &QTimer::timeout, this, [this] {
     exchange_->Cancel();
     Fail(Outcome::kTimeout);
--- a/libs/stages/test/stage_progress_test.cc
+++ b/libs/stages/test/stage_progress_test.cc
@@ -102,8 +102,9 @@
   const std::vector<int> pieces = {1, 6, 3};
   StageProgress progress(kChain, pieces);
   progress.Complete(0, 0, MakeResult("p", "zone-a"));
-  for (int i = 0; i < 6; ++i)
+  for (int i = 0; i < 6; ++i) {
     progress.Complete(1, i, MakeResult("b", "zone-b"));
+  }
   REQUIRE(progress.InputsZone(1).empty());
   REQUIRE(progress.InputsZone(2) == "zone-b");
 }
--- a/libs/store/src/change_history.cc
+++ b/libs/store/src/change_history.cc
@@ -36,8 +36,9 @@
                       .objects = {}};
   for (const ChangeBatch& batch : batches_) {
     if (batch.revision <= revision) continue;
-    if (CrossesEraBoundary(batch) && batch.follows < revision)
+    if (CrossesEraBoundary(batch) && batch.follows < revision) {
       return std::nullopt;
+    }
     changes.objects.insert(changes.objects.end(), batch.objects.begin(),
                            batch.objects.end());
   }
