--- a/libs/entry/src/instance_links.cc
+++ b/libs/entry/src/instance_links.cc
@@ -151,7 +151,8 @@
   // Guard: a reset of a connection says nothing of the instance behind it.
   // Taken as its loss, its pieces would be made twice, and for seconds two
   // owners would fill half calls each. It is tried once more.
-  const bool again_there = instance.link->heard() && !instance.link->silent();
+  const bool again_there =
+      instance.link->has_received() && !instance.link->ack_timed_out();
   std::exchange(instance.link, nullptr)->deleteLater();
   instance.leaving = false;
   if (!again_there) NoteDown(instance);
@@ -181,7 +182,7 @@
     if (!instance.down || now - instance.missed > kMissedLately) continue;
     any_missed = true;
     if (instance.link != nullptr || now < instance.retry_at) continue;
-    Connect(name, instance).Greet();
+    Connect(name, instance).RequestAck();
   }
   if (!any_missed) retry_.stop();
 }
--- a/libs/entry/src/stage_router.cc
+++ b/libs/entry/src/stage_router.cc
@@ -77,7 +77,7 @@
   const auto owner = links_.OwnerOf(pending.shard);
   if (peer::PeerLink* link = owner ? links_.Open(*owner) : nullptr) {
     pending.owner = *owner;
-    pending.reached = pending.reached || link->heard();
+    pending.reached = pending.reached || link->has_received();
     link->outgoing().pieces.push_back({ticket, pending.shard, pending.piece});
     return;
   }
--- a/libs/entry/src/store_news.cc
+++ b/libs/entry/src/store_news.cc
@@ -33,12 +33,12 @@
 
 void StoreNews::Tell(peer::Frame& frame) const {
   if (!own_) return;
-  frame.newest_changes = own_();
+  frame.newest_revisions = own_();
 }
 
 void StoreNews::Hear(const peer::Frame& frame, Clock::time_point now) {
   heard_at_ = now;
-  if (on_heard_) on_heard_(frame.newest_changes);
+  if (on_heard_) on_heard_(frame.newest_revisions);
 }
 
 milliseconds StoreNews::WatchWait(int instances, Clock::time_point now) const {
--- a/libs/entry/test/store_news_test.cc
+++ b/libs/entry/test/store_news_test.cc
@@ -25,10 +25,10 @@
       });
   Frame frame;
   news.Tell(frame);
-  REQUIRE(frame.newest_changes.config == 5);
-  REQUIRE(frame.newest_changes.upstreams == 9);
-  REQUIRE(frame.newest_changes.evacuations == 11);
-  frame.newest_changes.config = 7;
+  REQUIRE(frame.newest_revisions.config == 5);
+  REQUIRE(frame.newest_revisions.upstreams == 9);
+  REQUIRE(frame.newest_revisions.evacuations == 11);
+  frame.newest_revisions.config = 7;
   news.Hear(frame, kNow);
   REQUIRE(heard == std::vector<int64_t>{7, 9, 11});
 }
--- a/libs/peer/include/turmeric/peer/frame.h
+++ b/libs/peer/include/turmeric/peer/frame.h
@@ -14,71 +14,75 @@
 
 namespace turmeric::peer {
 
-/** A piece handed to another instance. */
+/** Orders a piece, the unit of work of a stage service, from the instance that
+ * queues the pieces of its shard. */
 struct PieceOrder {
-  uint64_t ticket = 0;  ///< Unique for one start of the sender.
+  uint64_t ticket = 0;  ///< Unique within one process incarnation.
   std::string service;  ///< Name of a shard of a stage service.
   stages::Piece piece;
 };
 
-/** What became of a piece, told to the instance that ordered it. */
+/** Reports the result of a piece to the instance that ordered it. */
 struct PieceDone {
   uint64_t ticket = 0;
   stages::PieceResult result;
 };
 
-/** Results of one shard that nothing needs any more. */
+/** Releases results of one shard that are no longer needed. */
 struct ReleaseOrder {
   std::string service;
   std::vector<std::string> handles;
 };
 
-/** How long the queue of one shard is at the sender. */
+/** Backlog of one shard whose queue the sender holds. */
 struct Backlog {
   std::string service;
-  double calls = 0;  ///< Waiting for each of its upstreams.
+  double calls = 0;  ///< Calls waiting per upstream of the shard.
 };
 
-/** Asks the instance that places a service's requests for an engine. */
+/** Requests a placement, the choice of an engine for a request, from the
+ * instance that places the requests of a cell. */
 struct PlacementOrder {
-  uint64_t ticket = 0;       ///< Unique for one start of the sender.
+  uint64_t ticket = 0;       ///< Unique within one process incarnation.
   std::string service;       ///< Name of a cell of an engine service.
-  std::string shared_part;   ///< First part of the prompt; empty: none.
-  std::string session_part;  ///< The part shared within its session.
+  std::string shared_part;   ///< Id of the prompt's first part; empty: none.
+  std::string session_part;  ///< Id of the part shared within the session.
   int shared_tokens = 0;
   int session_tokens = 0;
-  int prompt_tokens = 0;  ///< Of the whole prompt.
+  int prompt_tokens = 0;  ///< Tokens of the whole prompt.
   std::string zone;       ///< Preferred availability zone; empty: none.
-  int zone_cost_ms = 0;   ///< Waiting that another zone is worth.
-  std::vector<std::string> excluded;  ///< Upstreams not to be used.
+  int zone_cost_ms = 0;   ///< Cost of using another zone, as waiting time.
+  std::vector<std::string> excluded;  ///< Upstream ids not to be chosen.
 };
 
-/** Where a request goes. */
+/** Answers a PlacementOrder with the chosen engine. */
 struct Placed {
   uint64_t ticket = 0;
-  std::string upstream;  ///< Its id; empty: none is left.
+  std::string upstream;  ///< Id of the chosen engine; empty: none is left.
 };
 
-/** A placed request has ended. */
+/** Reports the end of a placed request to the instance that placed it. */
 struct PlacementEnd {
   uint64_t ticket = 0;
-  /** How the engine did; nullopt: the end says nothing of it. */
+  /** Outcome of the call to the engine; nullopt: the end of the request gives
+   * no evidence about the engine. */
   std::optional<routing::Outcome> outcome;
 };
 
-/** What of the platform's store instances pass on to each other. */
+/** Kinds of objects of the platform's store whose changes instances relay to
+ * each other. */
 enum class StoreKind : int8_t { kConfig, kUpstreams, kEvacuations };
 
 inline constexpr std::array kAllStoreKinds = {
     StoreKind::kConfig, StoreKind::kUpstreams, StoreKind::kEvacuations};
 
-/** One revision of the store for each kind; 0: none is known. */
+/** One store revision per kind; 0: none is known. */
 struct StoreRevisions {
   int64_t config = 0;
   int64_t upstreams = 0;
   int64_t evacuations = 0;
 
-  /** @param kind one of the kinds. @return its revision. */
+  /** @param kind kind of store objects. @return the revision of that kind. */
   int64_t& Of(StoreKind kind) {
     switch (kind) {
       case StoreKind::kConfig:
@@ -95,16 +99,17 @@
   }
 };
 
-/** One object of the store, as it was read from there. */
+/** One object of the store, as read from the store. */
 struct StoreObject {
   std::string name;
   std::string spec;      ///< JSON text; empty if deleted.
-  bool packed = false;   ///< The text is compressed.
-  int64_t revision = 0;  ///< Store-wide revision of its last change.
+  bool packed = false;   ///< True if `spec` is compressed.
+  int64_t revision = 0;  ///< Store-wide revision of the last change.
   bool deleted = false;
 };
 
-/** All changes of one kind after one revision and up to another. */
+/** All changes of one kind after revision `follows`, up to and including
+ * `revision`. */
 struct StoreChanges {
   StoreKind kind = StoreKind::kConfig;
   int64_t follows = 0;
@@ -113,62 +118,70 @@
   uint64_t held_before = 0;  ///< See store::ChangeBatch.
 };
 
-/** Asks another instance to pass on the store's changes; said again every
- * second or two, or it is forgotten. */
+/** Subscribes the sender to the store changes that the receiver relays. The
+ * sender renews it every second or two; otherwise the subscription expires. */
 struct FollowRequest {
-  bool wanted = true;
-  bool resync = false;  ///< Send what came after the revisions below.
+  bool wanted = true;   ///< False ends the subscription.
+  bool resync = false;  ///< Send all changes after `known`.
   StoreRevisions known;
 };
 
-/** How well an instance that passes on the store's changes knows it. */
+/** State of a relay, an instance that passes the store's changes on to others:
+ * how current its copy of the store is. */
 struct RelayStatus {
-  /** Since the store was last heard by anybody on the sender's path to it. */
+  /** Elapsed time since any instance on the sender's path to the store last
+   * received from the store. */
   std::chrono::milliseconds store_age{0};
-  /** Since the store's last outage ended; nullopt: none is known. */
+  /** Elapsed time since the store's last outage ended; nullopt: no outage is
+   * known. */
   std::optional<std::chrono::milliseconds> outage_ended;
-  StoreRevisions known;  ///< Up to which it knows all changes.
-  /** Since when the sender may lack configurations that the store has accepted;
-   * nullopt: it never knew that it had them all. */
+  StoreRevisions known;  ///< The sender has all changes up to these.
+  /** Elapsed time since the sender was last known to have all configurations
+   * that the store had accepted; nullopt: it never was. */
   std::optional<std::chrono::milliseconds> config_age;
 };
 
 /** One message between two instances. */
 struct Frame {
-  std::string sender;         ///< Set in the first frame only.
-  uint64_t sequence = 0;      ///< Not 0: wants an acknowledgement.
-  uint64_t acknowledged = 0;  ///< Highest sequence seen.
+  std::string sender;         ///< Identity; set in the first frame only.
+  uint64_t sequence = 0;      ///< Not 0: requests an acknowledgement.
+  uint64_t acknowledged = 0;  ///< Highest sequence received.
   bool leaving = false;       ///< The sender has begun a planned stop.
   std::vector<PieceOrder> pieces;
-  std::vector<uint64_t> taken;  ///< Pieces whose inputs were fetched.
+  std::vector<uint64_t> taken;  ///< Tickets of pieces with fetched inputs.
   std::vector<PieceDone> done;
-  std::vector<uint64_t> cancelled;
+  std::vector<uint64_t> cancelled;  ///< Tickets of pieces to be cancelled.
   std::vector<ReleaseOrder> releases;
   std::vector<Backlog> backlogs;
   std::vector<PlacementOrder> placements;
   std::vector<Placed> placed;
-  std::vector<uint64_t> prompts_read;  ///< Placements whose answer has begun.
+  /** Tickets of placements whose answer has begun. */
+  std::vector<uint64_t> prompts_read;
   std::vector<PlacementEnd> ended;
-  /** The newest changes in the platform's store that the sender has seen, by
-   * their revisions. */
-  StoreRevisions newest_changes;
+  /** Revisions of the newest changes in the platform's store that the sender
+   * has received. */
+  StoreRevisions newest_revisions;
   std::optional<FollowRequest> follow;
   std::optional<RelayStatus> relay;
   std::vector<StoreChanges> store_changes;
-  std::vector<quarantine::Crash> crashes;      ///< Upstreams that have ended.
-  std::vector<quarantine::GoodRun> good_runs;  ///< Of work with crashes.
+  /** Upstream processes that ended while they had a request. */
+  std::vector<quarantine::Crash> crashes;
+  /** Requests with known crashes that an upstream has run to the end. */
+  std::vector<quarantine::GoodRun> good_runs;
 };
 
 /**
- * @param frame a message. @param now times in it are sent relative to this,
- *     as clocks differ between instances.
- * @return its bytes, without the length before them.
+ * @param frame the message.
+ * @param now current time. Times are sent relative to it, as clocks differ
+ *     between instances.
+ * @return the encoded bytes, without the length prefix.
  */
 std::vector<uint8_t> Encode(const Frame& frame, stages::Clock::time_point now);
 
 /**
- * @param bytes one message. @param now times in it are counted from this.
- * @return the message, or nullopt if the bytes are none.
+ * @param bytes one encoded message, without the length prefix.
+ * @param now current time. Relative times in the message are added to it.
+ * @return the message, or nullopt if the bytes are malformed.
  */
 std::optional<Frame> Decode(std::span<const uint8_t> bytes,
                             stages::Clock::time_point now);
--- a/libs/peer/include/turmeric/peer/peer_link.h
+++ b/libs/peer/include/turmeric/peer/peer_link.h
@@ -13,45 +13,53 @@
 namespace turmeric::peer {
 
 /**
- * One connection between two instances. What is queued in one turn of the
- * event loop leaves as one frame. A frame with orders is acknowledged by the
- * other side's event loop; without that, the link ends: an instance that is
- * frozen or cut off keeps its TCP connection open for seconds.
+ * One connection between two instances. Messages queued in one iteration of the
+ * event loop are sent as one frame. The event loop of the peer instance
+ * acknowledges each frame with orders. If the acknowledgement times out, the
+ * link ends: the TCP connection of an instance that is frozen or unreachable
+ * stays open for seconds.
  */
 class PeerLink : public QObject {
  public:
-  /** Called with each frame, and once at the end. */
+  /** Callbacks of a link. */
   struct Events {
+    /** Called with each received frame. */
     std::function<void(Frame&&)> on_frame;
-    /** Lets the owner add to a frame that leaves now; may be empty. */
+    /** Called before a frame is sent, so that the owner can add to it; may be
+     * empty. */
     std::function<void(Frame&)> on_flush;
+    /** Called once when the link ends, unless Close() ended it.
+     * @param why reason for the log. */
     std::function<void(std::string_view why)> on_end;
   };
 
-  /** Connects. @param peer where to. @param sender our name.
+  /** Connects to a peer instance. @param peer its address. @param sender
+   * identity of this instance, sent in the first frame.
    * @param events callbacks. @param parent Qt owner. */
   PeerLink(const http::Endpoint& peer, std::string sender, Events events,
            QObject* parent);
-  /** @param fd an accepted connection; owned. @param events callbacks.
+  /** @param fd accepted connection; owned. @param events callbacks.
    * @param parent Qt owner. */
   PeerLink(int fd, Events events, QObject* parent);
   ~PeerLink() override;
 
-  /** @return the frame that leaves at the end of this turn; add to it. */
+  /** @return the frame that is sent at the end of this iteration of the event
+   * loop; the caller adds its messages to it. */
   Frame& outgoing();
-  /** Asks the other side for a sign of life: its silence ends the link. */
-  void Greet();
+  /** Sends a frame that requests an acknowledgement; the link ends if the
+   * acknowledgement times out. */
+  void RequestAck();
   /** Ends the link without a callback. */
   void Close();
   /** @return true until the link has ended. */
   bool alive() const { return alive_; }
-  /** @return true once the other side has sent a frame. */
-  bool heard() const { return heard_; }
-  /** @return true if the link ended because the other side was silent. */
-  bool silent() const { return silent_; }
+  /** @return true once a frame has been received. */
+  bool has_received() const { return has_received_; }
+  /** @return true if the link ended because an acknowledgement timed out. */
+  bool ack_timed_out() const { return ack_timed_out_; }
 
  private:
-  void Attach();
+  void AttachSocket();
   void OnBytes(std::string_view bytes);
   void OnFrame(Frame&& frame);
   void Flush();
@@ -60,17 +68,17 @@
   std::string sender_;
   Events events_;
   http::TcpSocket* socket_;
-  std::string pending_;
-  Frame next_;
-  QTimer flush_;
-  QTimer ack_timeout_;
+  std::string receive_buffer_;
+  Frame next_frame_;
+  QTimer flush_timer_;
+  QTimer ack_timer_;
   uint64_t sent_sequence_ = 0;
-  uint64_t acknowledged_ = 0;  ///< By the other side.
-  uint64_t seen_sequence_ = 0;
-  bool greets_ = false;  ///< The next frame wants an acknowledgement.
+  uint64_t acknowledged_sequence_ = 0;  ///< Highest sequence acknowledged.
+  uint64_t received_sequence_ = 0;
+  bool ack_requested_ = false;  ///< Set a sequence on the next frame.
   bool alive_ = true;
-  bool heard_ = false;
-  bool silent_ = false;
+  bool has_received_ = false;
+  bool ack_timed_out_ = false;
 };
 
 }  // namespace turmeric::peer
--- a/libs/peer/src/frame.cc
+++ b/libs/peer/src/frame.cc
@@ -15,7 +15,7 @@
 
 namespace {
 
-/** Largest relative time that is sent, ms; a day. */
+/** Relative times are clamped to one day either way. */
 constexpr int64_t kMaxRelativeMs = 24LL * 3600 * 1000;
 
 int32_t RelativeMs(Clock::time_point at, Clock::time_point now) {
@@ -88,6 +88,7 @@
           .excluded = Texts(o.excluded())};
 }
 
+/** Wire value of a PlacementEnd without an outcome. */
 constexpr int8_t kNoOutcome = -1;
 
 Offset<wire::PlacementEnd> Write(FlatBufferBuilder& b,
@@ -150,7 +151,7 @@
                                   b.CreateVector(objects), changes.held_before);
 }
 
-/** @return the changes, or nullopt of a kind that is not known here. */
+/** @return the changes, or nullopt if their kind is unknown. */
 std::optional<StoreChanges> Read(const wire::StoreChanges& c) {
   const bool known =
       c.kind() >= 0 && c.kind() <= static_cast<int8_t>(StoreKind::kEvacuations);
@@ -172,10 +173,11 @@
   return changes;
 }
 
-/** No outage of the store is known. */
-constexpr int32_t kNoOutage = -1;
-/** The sender never knew that it had all configurations. */
-constexpr int32_t kNeverKnown = -1;
+/** Wire value of RelayStatus::outage_ended if no outage is known. */
+constexpr int32_t kNoKnownOutage = -1;
+/** Wire value of RelayStatus::config_age if the sender was never known to have
+ * all configurations. */
+constexpr int32_t kNoConfigAge = -1;
 
 Offset<wire::FollowRequest> Write(FlatBufferBuilder& b,
                                   const FollowRequest& follow) {
@@ -184,23 +186,24 @@
                                    follow.known.evacuations);
 }
 
-int32_t WireMs(milliseconds time) {
+int32_t NonNegativeMs(milliseconds time) {
   return static_cast<int32_t>(
       std::clamp<int64_t>(time.count(), 0, kMaxRelativeMs));
 }
 
 Offset<wire::RelayStatus> Write(FlatBufferBuilder& b,
                                 const RelayStatus& status) {
-  const int32_t ended =
-      status.outage_ended ? WireMs(*status.outage_ended) : kNoOutage;
+  const int32_t ended = status.outage_ended
+                            ? NonNegativeMs(*status.outage_ended)
+                            : kNoKnownOutage;
   return wire::CreateRelayStatus(
-      b, WireMs(status.store_age), ended, status.known.config,
+      b, NonNegativeMs(status.store_age), ended, status.known.config,
       status.known.upstreams, status.known.evacuations,
-      status.config_age ? WireMs(*status.config_age) : kNeverKnown);
+      status.config_age ? NonNegativeMs(*status.config_age) : kNoConfigAge);
 }
 
 RelayStatus Read(const wire::RelayStatus& status) {
-  // A negative age would count as fresher than anything that can be known.
+  // A negative age would rank as fresher than any real copy of the store.
   const auto read_ms = [](int32_t ms) {
     return milliseconds(std::max<int32_t>(0, ms));
   };
@@ -210,17 +213,18 @@
       .known = {status.config_revision(), status.upstreams_revision(),
                 status.evacuations_revision()},
       .config_age = std::nullopt};
-  if (status.config_age_ms() != kNeverKnown) {
+  if (status.config_age_ms() != kNoConfigAge) {
     out.config_age = read_ms(status.config_age_ms());
   }
-  if (status.outage_ended_ms() != kNoOutage) {
+  if (status.outage_ended_ms() != kNoKnownOutage) {
     out.outage_ended = read_ms(status.outage_ended_ms());
   }
   return out;
 }
 
-/** @return the time that a message of now gives as its age. */
-Clock::time_point TimeOf(int32_t age_ms, Clock::time_point now) {
+/** @return the time that lies `age_ms` before `now`; negative ages count as
+ * 0. */
+Clock::time_point TimeFromAge(int32_t age_ms, Clock::time_point now) {
   return now - milliseconds(std::max<int32_t>(0, age_ms));
 }
 
@@ -240,7 +244,7 @@
                              RelativeMs(now, run.at));
 }
 
-/** Reads the parts of a frame that tell of upstreams which ended. */
+/** Reads the crashes and the good runs of a frame. */
 void ReadCrashParts(const wire::Frame& f, Clock::time_point now, Frame& frame) {
   if (f.crashes() != nullptr) {
     std::ranges::transform(
@@ -248,7 +252,7 @@
           return quarantine::Crash{.work = Text(c->work()),
                                    .service = Text(c->service()),
                                    .upstream = Text(c->upstream()),
-                                   .at = TimeOf(c->age_ms(), now),
+                                   .at = TimeFromAge(c->age_ms(), now),
                                    .progressed = c->progressed()};
         });
   }
@@ -258,15 +262,15 @@
                              return quarantine::GoodRun{
                                  .work = Text(r->work()),
                                  .service = Text(r->service()),
-                                 .at = TimeOf(r->age_ms(), now)};
+                                 .at = TimeFromAge(r->age_ms(), now)};
                            });
   }
 }
 
-/** Reads the parts of a frame that pass on the store's changes. */
+/** Reads the store changes of a frame and the state of their relay. */
 void ReadStoreParts(const wire::Frame& f, Frame& frame) {
-  frame.newest_changes = {f.config_change(), f.upstreams_change(),
-                          f.evacuations_change()};
+  frame.newest_revisions = {f.config_change(), f.upstreams_change(),
+                            f.evacuations_change()};
   if (f.follow() != nullptr) {
     frame.follow = FollowRequest{.wanted = f.follow()->wanted(),
                                  .resync = f.follow()->resync(),
@@ -342,16 +346,16 @@
              b, sender, frame.sequence, frame.acknowledged, frame.leaving,
              piece_list, taken, done_list, cancelled, release_list,
              backlog_list, placement_list, placed_list, prompts_read, ended,
-             frame.newest_changes.config, frame.newest_changes.upstreams,
+             frame.newest_revisions.config, frame.newest_revisions.upstreams,
              follow, relay, change_list, crash_list, run_list,
-             frame.newest_changes.evacuations));
+             frame.newest_revisions.evacuations));
   return {b.GetBufferPointer(), b.GetBufferPointer() + b.GetSize()};
 }
 
 std::optional<Frame> Decode(std::span<const uint8_t> bytes,
                             Clock::time_point now) {
-  // Guard: anyone on the network can connect to this port. The verifier
-  // checks every offset before it is followed.
+  // Guard: any process on the network can connect to this port, so the bytes
+  // are untrusted. The verifier checks every offset before it is followed.
   flatbuffers::Verifier verifier(bytes.data(), bytes.size());
   if (!wire::VerifyFrameBuffer(verifier)) return std::nullopt;
   const wire::Frame& f = *wire::GetFrame(bytes.data());
--- a/libs/peer/src/peer_link.cc
+++ b/libs/peer/src/peer_link.cc
@@ -12,13 +12,13 @@
 
 namespace {
 
-/** Longest handshake between instances a few milliseconds apart. */
+/** Timeout of the TCP handshake; instances are a few milliseconds apart. */
 constexpr milliseconds kConnectTimeout{300};
-/** Longest wait for an acknowledgement: an instance with a small processor
- * quota may pause for a tenth of a second, a slow one for more. */
+/** Timeout of an acknowledgement. An instance with a small CPU quota may be
+ * paused for 100 ms, a slow one for longer. */
 constexpr milliseconds kAckTimeout{450};
-/** A frame larger than this is no message of ours, bytes. */
-constexpr uint32_t kMaxFrame = 16 * 1024 * 1024;
+/** Largest frame accepted; a longer length prefix is not from an instance. */
+constexpr uint32_t kMaxFrameBytes = 16 * 1024 * 1024;
 
 using LengthBytes = std::array<char, sizeof(uint32_t)>;
 
@@ -47,51 +47,51 @@
       sender_(std::move(sender)),
       events_(std::move(events)),
       socket_(new http::TcpSocket(peer, kConnectTimeout, this)) {
-  Attach();
+  AttachSocket();
 }
 
 PeerLink::PeerLink(int fd, Events events, QObject* parent)
     : QObject(parent),
       events_(std::move(events)),
       socket_(new http::TcpSocket(fd, this)) {
-  Attach();
+  AttachSocket();
 }
 
 PeerLink::~PeerLink() = default;
 
-void PeerLink::Attach() {
+void PeerLink::AttachSocket() {
   socket_->set_events(
       {.on_connected = {},
        .on_bytes = [this](std::string_view bytes) { OnBytes(bytes); },
        .on_end = [this](http::SocketEnd) { End("connection ended"); },
        .on_drained = {}});
-  for (QTimer* timer : {&flush_, &ack_timeout_}) timer->setSingleShot(true);
-  connect(&flush_, &QTimer::timeout, this, [this] { Flush(); });
-  connect(&ack_timeout_, &QTimer::timeout, this, [this] {
-    silent_ = true;
+  for (QTimer* timer : {&flush_timer_, &ack_timer_}) timer->setSingleShot(true);
+  connect(&flush_timer_, &QTimer::timeout, this, [this] { Flush(); });
+  connect(&ack_timer_, &QTimer::timeout, this, [this] {
+    ack_timed_out_ = true;
     End("no acknowledgement");
   });
 }
 
 Frame& PeerLink::outgoing() {
-  if (!flush_.isActive()) flush_.start(0);
-  return next_;
+  if (!flush_timer_.isActive()) flush_timer_.start(0);
+  return next_frame_;
 }
 
-void PeerLink::Greet() {
-  greets_ = true;
+void PeerLink::RequestAck() {
+  ack_requested_ = true;
   outgoing();
 }
 
 void PeerLink::Flush() {
   if (!alive_) return;
-  Frame frame = std::exchange(next_, {});
+  Frame frame = std::exchange(next_frame_, {});
   frame.sender = std::exchange(sender_, {});
-  frame.acknowledged = seen_sequence_;
-  const bool greets = std::exchange(greets_, false);
-  if (greets || !frame.pieces.empty() || !frame.placements.empty()) {
+  frame.acknowledged = received_sequence_;
+  const bool ack_requested = std::exchange(ack_requested_, false);
+  if (ack_requested || !frame.pieces.empty() || !frame.placements.empty()) {
     frame.sequence = ++sent_sequence_;
-    if (!ack_timeout_.isActive()) ack_timeout_.start(kAckTimeout);
+    if (!ack_timer_.isActive()) ack_timer_.start(kAckTimeout);
   }
   if (events_.on_flush) events_.on_flush(frame);
   const std::vector<uint8_t> body = Encode(frame, stages::Clock::now());
@@ -104,15 +104,15 @@
 }
 
 void PeerLink::OnBytes(std::string_view bytes) {
-  pending_.append(bytes);
+  receive_buffer_.append(bytes);
   size_t at = 0;
-  while (alive_ && pending_.size() - at >= sizeof(uint32_t)) {
-    std::string_view rest = pending_;
+  while (alive_ && receive_buffer_.size() - at >= sizeof(uint32_t)) {
+    std::string_view rest = receive_buffer_;
     rest.remove_prefix(at);
     const uint32_t length = DecodeLength(rest);
-    if (length > kMaxFrame) return End("frame too large");
+    if (length > kMaxFrameBytes) return End("frame too large");
     if (rest.size() < sizeof(uint32_t) + length) break;
-    // FlatBuffers need an aligned start.
+    // FlatBuffers requires an aligned buffer.
     std::vector<uint8_t> body(length);
     std::memcpy(body.data(), rest.data() + sizeof(uint32_t), length);
     at += sizeof(uint32_t) + length;
@@ -120,27 +120,27 @@
     if (!frame) return End("malformed frame");
     OnFrame(std::move(*frame));
   }
-  pending_.erase(0, at);
+  receive_buffer_.erase(0, at);
 }
 
 void PeerLink::OnFrame(Frame&& frame) {
-  if (frame.acknowledged > acknowledged_) {
-    acknowledged_ = frame.acknowledged;
-    ack_timeout_.stop();
-    if (acknowledged_ < sent_sequence_) ack_timeout_.start(kAckTimeout);
+  if (frame.acknowledged > acknowledged_sequence_) {
+    acknowledged_sequence_ = frame.acknowledged;
+    ack_timer_.stop();
+    if (acknowledged_sequence_ < sent_sequence_) ack_timer_.start(kAckTimeout);
   }
-  heard_ = true;
-  if (frame.sequence > seen_sequence_) {
-    seen_sequence_ = frame.sequence;
-    outgoing();  // The acknowledgement, with whatever else leaves now.
+  has_received_ = true;
+  if (frame.sequence > received_sequence_) {
+    received_sequence_ = frame.sequence;
+    outgoing();  // Schedules a frame, which carries the acknowledgement.
   }
   events_.on_frame(std::move(frame));
 }
 
 void PeerLink::End(std::string_view why) {
   if (!std::exchange(alive_, false)) return;
-  flush_.stop();
-  ack_timeout_.stop();
+  flush_timer_.stop();
+  ack_timer_.stop();
   socket_->Abort();
   if (auto callback = std::exchange(events_.on_end, nullptr)) callback(why);
 }
--- a/libs/peer/test/frame_test.cc
+++ b/libs/peer/test/frame_test.cc
@@ -54,7 +54,7 @@
   frame.placed.push_back({.ticket = 12, .upstream = "i-2"});
   frame.prompts_read = {13};
   frame.ended = {{14, turmeric::routing::Outcome::kNotSent}, {15, {}}};
-  frame.newest_changes = {530, 1LL << 40, 531};
+  frame.newest_revisions = {530, 1LL << 40, 531};
   frame.follow = {.wanted = true, .resync = true, .known = {16, 17, 24}};
   frame.relay = {.store_age = 250ms,
                  .outage_ended = 3s,
@@ -85,7 +85,7 @@
 
 }  // namespace
 
-TEST_CASE("a frame is read as it was written") {
+TEST_CASE("a frame survives encoding and decoding") {
   const Clock::time_point now = Clock::now();
   const auto frame = Decode(Encode(MakeFrame(now), now), now);
   REQUIRE(frame);
@@ -105,15 +105,15 @@
   REQUIRE(frame->placements[0].excluded == std::vector<std::string>{"i-1"});
   REQUIRE(frame->placed[0].upstream == "i-2");
   REQUIRE(frame->prompts_read == std::vector<uint64_t>{13});
-  REQUIRE(frame->newest_changes.config == 530);
-  REQUIRE(frame->newest_changes.upstreams == 1LL << 40);
-  REQUIRE(frame->newest_changes.evacuations == 531);
+  REQUIRE(frame->newest_revisions.config == 530);
+  REQUIRE(frame->newest_revisions.upstreams == 1LL << 40);
+  REQUIRE(frame->newest_revisions.evacuations == 531);
   REQUIRE(frame->ended.size() == 2);
   REQUIRE(frame->ended[0].outcome == turmeric::routing::Outcome::kNotSent);
   REQUIRE_FALSE(frame->ended[1].outcome);
 }
 
-TEST_CASE("what is passed on of the store is read as it was written") {
+TEST_CASE("relayed store changes survive encoding and decoding") {
   const Clock::time_point now = Clock::now();
   const auto frame = Decode(Encode(MakeFrame(now), now), now);
   REQUIRE(frame);
@@ -144,7 +144,7 @@
   REQUIRE(changes.objects[1].deleted);
 }
 
-TEST_CASE("a frame that passes nothing on says so") {
+TEST_CASE("an empty frame decodes without store messages") {
   const Clock::time_point now = Clock::now();
   const auto frame = Decode(Encode(Frame{}, now), now);
   REQUIRE(frame);
@@ -153,7 +153,7 @@
   REQUIRE(frame->store_changes.empty());
 }
 
-TEST_CASE("crashes and good runs are read as they were written") {
+TEST_CASE("crashes and good runs survive encoding and decoding") {
   const Clock::time_point now = Clock::now();
   const auto later = now + 1h;
   const auto frame = Decode(Encode(MakeFrame(now), now), later);
@@ -172,9 +172,10 @@
   REQUIRE(frame->good_runs[0].at == later - 2s);
 }
 
-// Story: two instances' clocks differ by any amount. Times cross as what is
-// left, so a piece is due at the same distance on both.
-TEST_CASE("times are counted from when a frame arrives") {
+// The clocks of two instances may differ by any amount. Times are sent relative
+// to the sender's clock and added to the receiver's, so a piece has the same
+// time left on both.
+TEST_CASE("decoded times are relative to the receiver's clock") {
   const Clock::time_point now = Clock::now();
   const auto later = now + 1h;
   const auto frame = Decode(Encode(MakeFrame(now), now), later);
@@ -182,10 +183,10 @@
   REQUIRE(frame->pieces[0].piece.due == later + 900ms);
 }
 
-// Story: something that is no instance connects to the peer port, or bytes
-// are spoiled on the way. Whatever arrives, the process does not read beyond
-// it and does not end.
-TEST_CASE("spoiled frames are refused or read, never more") {
+// A process that is not an instance connects to the peer port, or bytes are
+// corrupted in transit. Decoding must neither read past the received bytes nor
+// crash.
+TEST_CASE("decoding a corrupted frame stays within its bytes") {
   REQUIRE(rc::check("any change of a frame", [] {
     const Clock::time_point now = Clock::now();
     std::vector<uint8_t> bytes = Encode(MakeFrame(now), now);
