--- a/libs/http/src/details/connection_order.cc
+++ b/libs/http/src/details/response_queue.cc
@@ -1,4 +1,4 @@
-#include "details/connection_order.h"
+#include "details/response_queue.h"
 
 #include <QTcpSocket>
 #include <algorithm>
--- a/libs/http/src/responder.cc
+++ b/libs/http/src/responder.cc
@@ -3,8 +3,8 @@
 #include <QHttpServerResponder>
 #include <QTcpSocket>
 
-#include "details/connection_order.h"
 #include "details/exchange.h"
+#include "details/response_queue.h"
 #include "turmeric/http/sse.h"
 
 namespace turmeric::http {
