--- a/libs/entry/src/instance_links.cc
+++ b/libs/entry/src/instance_links.cc
@@ -166,7 +166,8 @@
   // instance is not marked as unreachable: otherwise its pieces would be run
   // twice, and for seconds two owners would each send half-full batches. The
   // next frame to the instance opens a new connection.
-  const bool was_reset = instance.link->heard() && !instance.link->silent();
+  const bool was_reset =
+      instance.link->has_received() && !instance.link->ack_timed_out();
   std::exchange(instance.link, nullptr)->deleteLater();
   instance.leaving = false;
   if (!was_reset) MarkUnreachable(instance);
@@ -196,7 +197,7 @@
     if (!other.unreachable || now - other.wanted_at > kWantedWindow) continue;
     any_wanted = true;
     if (other.link != nullptr || now < other.retry_at) continue;
-    Connect(name, other).Greet();
+    Connect(name, other).RequestAck();
   }
   if (!any_wanted) retry_timer_.stop();
 }
--- a/libs/entry/src/revision_gossip.cc
+++ b/libs/entry/src/revision_gossip.cc
@@ -43,12 +43,12 @@
 
 void RevisionGossip::AddTo(peer::Frame& frame) const {
   if (!own_) return;
-  frame.newest_changes = own_();
+  frame.newest_revisions = own_();
 }
 
 void RevisionGossip::ReadFrom(const peer::Frame& frame, Clock::time_point now) {
   received_at_ = now;
-  if (on_received_) on_received_(frame.newest_changes);
+  if (on_received_) on_received_(frame.newest_revisions);
 }
 
 milliseconds RevisionGossip::WatchWait(int instances,
--- a/libs/entry/src/stage_router.cc
+++ b/libs/entry/src/stage_router.cc
@@ -84,7 +84,7 @@
   const auto owner = links_.OwnerOf(pending.shard);
   if (peer::PeerLink* link = owner ? links_.Open(*owner) : nullptr) {
     pending.owner = *owner;
-    pending.may_have_run = pending.may_have_run || link->heard();
+    pending.may_have_run = pending.may_have_run || link->has_received();
     link->outgoing().pieces.push_back({ticket, pending.shard, pending.piece});
     return;
   }
--- a/libs/entry/test/revision_gossip_test.cc
+++ b/libs/entry/test/revision_gossip_test.cc
@@ -27,10 +27,10 @@
       });
   Frame frame;
   gossip.AddTo(frame);
-  REQUIRE(frame.newest_changes.config == 5);
-  REQUIRE(frame.newest_changes.upstreams == 9);
-  REQUIRE(frame.newest_changes.evacuations == 11);
-  frame.newest_changes.config = 7;
+  REQUIRE(frame.newest_revisions.config == 5);
+  REQUIRE(frame.newest_revisions.upstreams == 9);
+  REQUIRE(frame.newest_revisions.evacuations == 11);
+  frame.newest_revisions.config = 7;
   gossip.ReadFrom(frame, kNow);
   REQUIRE(received == std::vector<int64_t>{7, 9, 11});
 }
