--- a/libs/entry/src/caller_answer.cc
+++ b/libs/entry/src/caller_answer.cc
@@ -16,7 +16,7 @@
 CallerAnswer::CallerAnswer(http::ServerConnection& connection,
                            std::function<void()> on_gone)
     : connection_(&connection) {
-  connection.set_on_gone(std::move(on_gone));
+  connection.set_on_disconnected(std::move(on_gone));
 }
 
 void CallerAnswer::Respond(const http::ResponseMessage& message) {
--- a/libs/entry/src/upstream_probe.cc
+++ b/libs/entry/src/upstream_probe.cc
@@ -30,13 +30,14 @@
   if (open.socket != nullptr) return;
   open.socket = new http::TcpSocket(
       http::ParseEndpoint(upstream->entry.address), kAnswerWithin, this);
-  open.socket->set_events({.on_connected = [this, start] { End(start, false); },
-                           .on_bytes = {},
-                           .on_end =
-                               [this, start](http::SocketEnd) {
-                                 End(start, open_.at(start).socket->refused());
-                               },
-                           .on_drained = {}});
+  open.socket->set_events(
+      {.on_connected = [this, start] { End(start, false); },
+       .on_bytes = {},
+       .on_end =
+           [this, start](http::SocketEnd) {
+             End(start, open_.at(start).socket->connection_refused());
+           },
+       .on_drained = {}});
 }
 
 void UpstreamProbe::End(const std::string& start, bool has_ended) {
--- a/libs/gateway/src/gateway_service.cc
+++ b/libs/gateway/src/gateway_service.cc
@@ -104,8 +104,8 @@
                   config_->HandleResolved(r, std::move(w));
                 });
   server_.Route(M::Get, "/metrics", [this](const auto&, auto&& w) {
-    w.WriteWhole(200, "text/plain; version=0.0.4",
-                 QByteArray::fromStdString(metrics().Render()));
+    w.WriteResponse(200, "text/plain; version=0.0.4",
+                    QByteArray::fromStdString(metrics().Render()));
   });
   server_.Route(M::Get, "/healthz", [this](const auto&, auto&& w) {
     const char* state = leaving_         ? "draining"
--- a/libs/gateway/src/run_handler.cc
+++ b/libs/gateway/src/run_handler.cc
@@ -125,7 +125,7 @@
                          std::to_string(++next_request_);
   exchange->responder.emplace(std::move(responder));
   // Kept, the connection would carry a request just when the process exits.
-  if (admission_.draining()) exchange->responder->CloseAfterwards();
+  if (admission_.draining()) exchange->responder->CloseAfterResponse();
   if (!ready()) {
     // Guard: an instance that has not read the settings knows no pipeline;
     // "unknown pipeline" would turn a proper request away for good.
@@ -241,7 +241,7 @@
         OnRunDone(exchange, answer);
       });
   exchange->runner = runner;
-  exchange->responder->OnGone([runner = QPointer<PipelineRun>(runner)] {
+  exchange->responder->OnDisconnected([runner = QPointer<PipelineRun>(runner)] {
     if (runner) runner->Cancel();
   });
   runner->Start();
--- a/libs/gateway/test/path_helpers.h
+++ b/libs/gateway/test/path_helpers.h
@@ -25,7 +25,7 @@
 }
 
 /** @return an answer's JSON body. */
-inline QJsonObject Json(const http::HttpAnswer& a) {
+inline QJsonObject Json(const http::HttpResponse& a) {
   return QJsonDocument::fromJson(a.body).object();
 }
 
--- a/libs/gateway/test/path_test.cc
+++ b/libs/gateway/test/path_test.cc
@@ -24,8 +24,8 @@
 using turmeric::gateway::testing::Json;
 using turmeric::gateway::testing::RunUrl;
 using turmeric::gateway::testing::Wait;
-using turmeric::http::HttpAnswer;
 using turmeric::http::HttpCall;
+using turmeric::http::HttpResponse;
 
 TEST_CASE("a planned stop cuts nothing in flight") {
   // An operator stops an entry instance while receptionists' requests are
@@ -46,7 +46,7 @@
   Wait(30);
   bool drained = false;
   stack.gateways[0]->Drain([&] { drained = true; });
-  const HttpAnswer late =
+  const HttpResponse late =
       HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "generate"),
                Body("nile-hotels", "too late"));
   CHECK(late.status == 503);
@@ -72,7 +72,7 @@
   leaving->SetFaults({.leaving = true});
   QNetworkAccessManager network;
   for (int i = 0; i < 30; ++i) {
-    const HttpAnswer a =
+    const HttpResponse a =
         HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "generate"),
                  Body("nile-hotels", "notice"));
     CHECK(Json(a).value("state").toString() == "ran");
@@ -94,7 +94,7 @@
   const int64_t before = engine->received();
   QNetworkAccessManager network;
   for (int i = 0; i < 30; ++i) {
-    const HttpAnswer a =
+    const HttpResponse a =
         HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "generate"),
                  Body("nile-hotels", "notice"));
     CHECK(Json(a).value("state").toString() == "ran");
@@ -111,11 +111,11 @@
   QNetworkAccessManager network;
   const QList<QPair<QByteArray, QByteArray>> key = {
       {"Idempotency-Key", "tree-881"}};
-  const HttpAnswer first = HttpCall(
+  const HttpResponse first = HttpCall(
       network, "POST", RunUrl(stack, 0, "arvoredo", "felling-recommendation"),
       Body("parish-bonfim", "lime 881", false), key);
   REQUIRE(Json(first).value("state").toString() == "ran");
-  const HttpAnswer retry = HttpCall(
+  const HttpResponse retry = HttpCall(
       network, "POST", RunUrl(stack, 1, "arvoredo", "felling-recommendation"),
       Body("parish-bonfim", "lime 881", false), key);
   CHECK(Json(retry).value("state").toString() == "ran");
@@ -136,7 +136,7 @@
   const QList<QPair<QByteArray, QByteArray>> key = {
       {"Idempotency-Key", "notice-9"}};
   stack.store->SetFaults({.outage = true});
-  const HttpAnswer down =
+  const HttpResponse down =
       HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "print-notice"),
                Body("nile-hotels", "floor 2", false), key);
   CHECK(Json(down).value("code").toInt() == 5001);
@@ -145,7 +145,7 @@
   CHECK(Executions(stack, "nilelight/nile-hotels/print-notice/notice-9") == 0);
   stack.store->SetFaults({});
   Wait(1100);  // the claim release queued during the outage is retried
-  const HttpAnswer again =
+  const HttpResponse again =
       HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "print-notice"),
                Body("nile-hotels", "floor 2", false), key);
   CHECK(Json(again).value("state").toString() == "ran");
@@ -162,18 +162,18 @@
   QNetworkAccessManager network;
   const QList<QPair<QByteArray, QByteArray>> key = {
       {"Idempotency-Key", "notice-12"}};
-  const HttpAnswer first =
+  const HttpResponse first =
       HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "print-notice"),
                Body("nile-hotels", "room 12", false), key);
   REQUIRE(Json(first).value("state").toString() == "ran");
   stack.store->SetFaults({.outage = true});
-  const HttpAnswer outage =
+  const HttpResponse outage =
       HttpCall(network, "POST", RunUrl(stack, 1, "nilelight", "print-notice"),
                Body("nile-hotels", "room 12", false), key);
   CHECK(Json(outage).value("state").toString() != "not_run");
   stack.store->SetFaults({});
   stack.gateways[1]->Drain([] {});
-  const HttpAnswer draining =
+  const HttpResponse draining =
       HttpCall(network, "POST", RunUrl(stack, 1, "nilelight", "print-notice"),
                Body("nile-hotels", "room 12", false), key);
   CHECK(Json(draining).value("code").toInt() == 2003);
@@ -184,23 +184,23 @@
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   QNetworkAccessManager network;
-  const HttpAnswer org =
+  const HttpResponse org =
       HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "generate"),
                Body("nobody", "x"));
   CHECK(org.status == 404);
   CHECK(Json(org).value("code").toInt() == 1003);
-  const HttpAnswer json = HttpCall(
+  const HttpResponse json = HttpCall(
       network, "POST", RunUrl(stack, 0, "nilelight", "generate"), "{not json");
   CHECK(Json(json).value("code").toInt() == 1001);
-  const HttpAnswer key =
+  const HttpResponse key =
       HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "print-notice"),
                Body("nile-hotels", "x", false));
   CHECK(Json(key).value("code").toInt() == 1005);
-  const HttpAnswer cfg =
+  const HttpResponse cfg =
       HttpCall(network, "PUT", stack.Url(0) + "/v1/config/group",
                "deadlin_ms = 5", {{"If-Match", "1"}});
   CHECK(Json(cfg).value("code").toInt() == 6002);
-  const HttpAnswer race =
+  const HttpResponse race =
       HttpCall(network, "PUT", stack.Url(0) + "/v1/config/group",
                "deadline_ms = 5000", {{"If-Match", "99"}});
   CHECK(Json(race).value("code").toInt() == 6003);
@@ -216,7 +216,7 @@
   cutting->SetFaults({.cut_stream_after = 3});
   QNetworkAccessManager network;
   for (int i = 0; i < 10; ++i) {
-    const HttpAnswer a =
+    const HttpResponse a =
         HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "generate"),
                  R"({"organisation":"nile-hotels","input":"a b c d e f g h",)"
                  R"("max_tokens":8,"stream":true})");
@@ -242,7 +242,7 @@
   }
   QNetworkAccessManager network;
   for (int instance : {0, 1}) {
-    const HttpAnswer a = HttpCall(
+    const HttpResponse a = HttpCall(
         network, "POST", RunUrl(stack, instance, "nilelight", "print-notice"),
         Body("nile-hotels", "room 7", false),
         {{"Idempotency-Key", "notice-77"}});
@@ -264,7 +264,7 @@
   QNetworkAccessManager network;
   QElapsedTimer timer;
   timer.start();
-  const HttpAnswer a =
+  const HttpResponse a =
       HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "generate"),
                R"({"organisation":"nile-hotels","input":"a b","max_tokens":60,)"
                R"("stream":true,"deadline_ms":300})");
@@ -279,7 +279,7 @@
   REQUIRE(stack.Start(1));
   QNetworkAccessManager network;
   for (const char* organisation : {"nile-hotels", "nile-clinics"}) {
-    const HttpAnswer a =
+    const HttpResponse a =
         HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "print-notice"),
                  Body(organisation, organisation, false),
                  {{"Idempotency-Key", "notice-1"}});
@@ -302,7 +302,7 @@
   };
   REQUIRE(Json(run("room one")).value("state").toString() == "ran");
   Wait(50);
-  const HttpAnswer other = run("room two");
+  const HttpResponse other = run("room two");
   CHECK(Json(other).value("code").toInt() == 1006);
   CHECK(Json(other).value("state").toString() == "not_run");
   CHECK(Json(run("room one")).value("state").toString() == "ran");
@@ -314,7 +314,7 @@
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   QNetworkAccessManager network;
-  const HttpAnswer a =
+  const HttpResponse a =
       HttpCall(network, "POST", RunUrl(stack, 0, "nilelight", "print-notice"),
                Body("nile-hotels", "room 3"));
   CHECK(Json(a).value("code").toInt() == 1005);
@@ -335,7 +335,7 @@
   }
   QNetworkAccessManager network;
   for (int instance : {0, 1}) {
-    const HttpAnswer a = HttpCall(
+    const HttpResponse a = HttpCall(
         network, "POST", RunUrl(stack, instance, "nilelight", "generate"),
         Body("nile-hotels", "draft", false), {{"Idempotency-Key", "draft-1"}});
     CHECK(Json(a).value("state").toString() == "unknown");
@@ -354,7 +354,7 @@
     e->SetFaults({.leaving = true});
   }
   QNetworkAccessManager network;
-  const HttpAnswer a = HttpCall(
+  const HttpResponse a = HttpCall(
       network, "POST", RunUrl(stack, 0, "nilelight", "print-notice"),
       Body("nile-hotels", "room 8", false), {{"Idempotency-Key", "notice-8"}});
   CHECK(Json(a).value("state").toString() == "unknown");
--- a/libs/http/include/turmeric/http/client_connection.h
+++ b/libs/http/include/turmeric/http/client_connection.h
@@ -14,19 +14,19 @@
 
 namespace turmeric::http {
 
-/** How an exchange ended without a whole answer. */
+/** How an exchange ended without a complete response. */
 enum class ExchangeFailure {
-  kNotSent,    ///< Never connected: the request has not left us.
-  kNoAnswer,   ///< The connection ended before any byte of an answer.
-  kTruncated,  ///< The answer was cut off.
-  kMalformed,  ///< The bytes are no HTTP answer.
+  kNotSent,    ///< Never connected: no byte of the request was sent.
+  kNoAnswer,   ///< The connection ended before any byte of the response.
+  kTruncated,  ///< The connection ended within the response.
+  kMalformed,  ///< The received bytes are not an HTTP response.
 };
 
-/** Called as the answer to one request arrives. At most one of on_end and
- * on_failure is called, last. */
+/** Callbacks for the response to one request. At most one of on_end and
+ * on_failure is called, after all others. */
 struct ExchangeEvents {
-  /** @return false if this answer is not ours: it is skipped and the next
-   * answer on the connection is awaited. */
+  /** @return false if the response does not belong to this request: it is
+   * skipped, and the next response on the connection is awaited. */
   std::function<bool(const ResponseHead&)> on_head;
   std::function<void(std::string_view)> on_body;
   std::function<void()> on_end;
@@ -34,14 +34,15 @@
 };
 
 /**
- * The client's side of one HTTP/1.1 connection, one exchange at a time. A
- * connection is reusable only after a whole, framed answer with nothing
- * behind it, to a request that was sent in full.
+ * Client side of one HTTP/1.1 connection, with one exchange at a time. The
+ * connection is reusable only if the request was sent in full and the response
+ * was complete, framed and not followed by further bytes.
  */
 class ClientConnection : public QObject {
  public:
   /**
-   * @param peer the server. @param connect_timeout for the handshake.
+   * @param peer the server. @param connect_timeout timeout of the
+   * TCP handshake.
    * @param parent Qt owner.
    */
   ClientConnection(const Endpoint& peer,
@@ -50,48 +51,49 @@
 
   /**
    * Sends a request; the connection must not be busy.
-   * @param bytes the request, whole. @param events called as it is answered.
+   * @param bytes the whole encoded request. @param events callbacks for the
+   * response.
    */
   void Send(std::string_view bytes, ExchangeEvents events);
-  /** Drops the exchange and the connection; no more callbacks. */
+  /** Aborts the exchange and the connection; no more callbacks. */
   void Cancel();
-  /** @param paused true: stop reading the answer for now. */
+  /** @param paused true: stop reading the response until called with false. */
   void PauseReading(bool paused);
   /** @return true if another request may be sent now. */
   bool reusable() const;
-  /** @return true while an exchange is open. */
+  /** @return true while an exchange is in flight. */
   bool busy() const { return busy_; }
-  /** @return true if the connection is open and was used before. */
+  /** @return true once an exchange has completed. */
   bool used() const { return used_; }
   /** @return when the last exchange ended. */
   std::chrono::steady_clock::time_point idle_since() const {
     return idle_since_;
   }
-  /** @return how long the server keeps it open when idle. */
+  /** @return time for which the server keeps the idle connection open. */
   std::chrono::milliseconds keep_alive() const { return keep_alive_; }
-  /** @param callback called once when an idle connection ends. */
+  /** @param callback called once if the connection ends while idle. */
   void set_on_idle_end(std::function<void()> callback) {
     on_idle_end_ = std::move(callback);
   }
 
  private:
   void OnBytes(std::string_view bytes);
-  void ParsePending();
+  void ParseReceived();
   void OnHead(ResponseHead&& head);
-  void OnDone();
+  void OnResponseComplete();
   void OnEnd(SocketEnd end);
   void Fail(ExchangeFailure failure);
-  void NewParser();
+  void ResetParser();
 
   TcpSocket* socket_;
   std::unique_ptr<ResponseParser> parser_;
   ExchangeEvents events_;
   std::function<void()> on_idle_end_;
-  std::string pending_;
+  std::string unparsed_;
   bool busy_ = false;
   bool used_ = false;
-  bool skipping_ = false;
-  bool answers_head_ = false;
+  bool skipping_response_ = false;
+  bool is_head_request_ = false;
   bool broken_ = false;
   std::chrono::milliseconds keep_alive_;
   std::chrono::steady_clock::time_point idle_since_;
--- a/libs/http/include/turmeric/http/listener.h
+++ b/libs/http/include/turmeric/http/listener.h
@@ -10,15 +10,16 @@
 
 namespace turmeric::http {
 
-/** Accepts TCP connections and hands their descriptors on. */
+/** Accepts TCP connections and passes their descriptors to a callback. */
 class Listener : public QObject {
  public:
-  /** @param on_accept gets each accepted, non-blocking descriptor; owns it. */
+  /** @param on_accept called with each accepted, non-blocking descriptor, which
+   * it owns. */
   explicit Listener(std::function<void(int fd)> on_accept);
   ~Listener() override;
 
   /**
-   * @param address where to listen; port 0 picks a free one.
+   * @param address local address; port 0 selects a free port.
    * @return kIniInvalid if the address cannot be bound.
    */
   utils::Result<void> Listen(const Endpoint& address);
--- a/libs/http/include/turmeric/http/message.h
+++ b/libs/http/include/turmeric/http/message.h
@@ -7,13 +7,13 @@
 
 namespace turmeric::http {
 
-/** One header field, as it stood on the wire. */
+/** One header field, unchanged from the wire. */
 struct HeaderField {
   std::string name;
   std::string value;
 };
 
-/** The head of a request, or all of it once `body` is complete. */
+/** Head of a request (request line and headers), and its body once read. */
 struct RequestMessage {
   std::string method;
   std::string target;  ///< Path and query, unchanged.
@@ -21,7 +21,7 @@
   std::string body;
 };
 
-/** The head of an answer. */
+/** Head of a response (status and headers). */
 struct ResponseHead {
   int status = 0;
   std::vector<HeaderField> headers;
@@ -29,31 +29,31 @@
 
 /**
  * @param headers header fields. @param name a field name, any case.
- * @return the first such field's value, empty if there is none.
+ * @return value of the first field with that name, empty if there is none.
  */
 std::string_view HeaderValue(std::span<const HeaderField> headers,
                              std::string_view name);
 
 /**
  * @param headers header fields. @param name a field name, any case.
- * @return true if such a field is there.
+ * @return true if there is a field with that name.
  */
 bool HasHeader(std::span<const HeaderField> headers, std::string_view name);
 
-/** @return true if both are the same but for ASCII case. */
+/** @return true if `a` and `b` are equal, ignoring ASCII case. */
 bool EqualsIgnoringCase(std::string_view a, std::string_view b);
 
 /**
  * @param name a field name.
- * @return true for fields that concern one connection only (RFC 9110 7.6.1)
- *     or its framing; a proxy does not pass these on.
+ * @return true for fields that apply to a single connection (RFC 9110 7.6.1)
+ *     or to its framing; a proxy does not forward these.
  */
 bool IsHopByHop(std::string_view name);
 
 /** @param status HTTP status code. @return its standard reason phrase. */
 std::string_view ReasonPhrase(int status);
 
-/** Appends "name: value\r\n". */
+/** Appends "name: value\r\n" to `out`. */
 void AppendHeader(std::string& out, std::string_view name,
                   std::string_view value);
 
--- a/libs/http/include/turmeric/http/message_parser.h
+++ b/libs/http/include/turmeric/http/message_parser.h
@@ -9,22 +9,22 @@
 
 namespace turmeric::http {
 
-/** How far a parser got with the bytes it was given. */
+/** State of a parser after a call of Feed. */
 enum class ParseStatus {
-  kNeedMore,        ///< The message goes on.
-  kDone,            ///< The message is complete; later bytes are not its own.
-  kMalformed,       ///< Not HTTP/1.1, or its framing contradicts itself.
+  kNeedMore,        ///< The message is incomplete.
+  kDone,            ///< The message is complete; it takes no more bytes.
+  kMalformed,       ///< Not HTTP/1.1, or contradictory framing.
   kHeaderTooLarge,  ///< The head exceeds the limit.
   kBodyTooLarge,    ///< The body exceeds the limit.
 };
 
-/** What one feed of bytes came to. */
+/** Result of one call of Feed. */
 struct ParseOutcome {
   ParseStatus status = ParseStatus::kNeedMore;
-  size_t consumed = 0;  ///< Bytes taken; the rest must be offered again.
+  size_t consumed = 0;  ///< Bytes taken; the caller feeds the rest again.
 };
 
-/** Reads one request, whole, in memory (Boost.Beast's parser). */
+/** Parses one request into memory, with the parser of Boost.Beast. */
 class RequestParser {
  public:
   /**
@@ -36,13 +36,13 @@
   RequestParser(const RequestParser&) = delete;
   RequestParser& operator=(const RequestParser&) = delete;
 
-  /** @param bytes what has arrived and was not consumed. @return progress. */
+  /** @param bytes received bytes not consumed yet. @return the outcome. */
   ParseOutcome Feed(std::string_view bytes);
   /** @return true once the head is complete. */
   bool head_done() const;
   /** @return true if the client wants the connection kept open. */
   bool keep_alive() const;
-  /** @return the request read so far. */
+  /** @return the part of the request parsed so far. */
   RequestMessage& message();
 
  private:
@@ -50,31 +50,31 @@
   std::unique_ptr<Impl> impl_;
 };
 
-/** Called as an answer is read. */
+/** Callbacks of ResponseParser. */
 struct ResponseSink {
   std::function<void(ResponseHead&&)> on_head;
   std::function<void(std::string_view)> on_body;
 };
 
-/** Reads one answer, passing its body on as it arrives. */
+/** Parses one response and passes its body on as it is received. */
 class ResponseParser {
  public:
-  /** @param sink gets the head and the body's bytes. */
+  /** @param sink called with the head and with each part of the body. */
   explicit ResponseParser(ResponseSink sink);
   ~ResponseParser();
   ResponseParser(const ResponseParser&) = delete;
   ResponseParser& operator=(const ResponseParser&) = delete;
 
-  /** @param bytes what has arrived and was not consumed. @return progress. */
+  /** @param bytes received bytes not consumed yet. @return the outcome. */
   ParseOutcome Feed(std::string_view bytes);
   /**
-   * The peer has closed in order.
-   * @return true if that completes the answer (a body without a length).
+   * Signals an orderly close of the connection by the peer.
+   * @return true if it completes the response (a body without a length).
    */
   bool FeedEnd();
-  /** The answer has no body whatever its head says: it answers HEAD. */
+  /** Expects no body whatever the head states, as the response to HEAD. */
   void ExpectNoBody();
-  /** @return true once any byte of the answer was taken. */
+  /** @return true once any byte of the response has been consumed. */
   bool started() const;
   /** @return true if the connection may carry another request. */
   bool keep_alive() const;
--- a/libs/http/include/turmeric/http/one_shot_body.h
+++ b/libs/http/include/turmeric/http/one_shot_body.h
@@ -5,10 +5,11 @@
 
 namespace turmeric::http {
 
-/** A request body that can be read once and never rewound. */
+/** A request body that can be read once and not rewound, so that Qt cannot send
+ * it a second time. */
 class OneShotBody : public QIODevice {
  public:
-  /** @param bytes the body. @param parent its owner. */
+  /** @param bytes the body. @param parent Qt owner. */
   OneShotBody(QByteArray bytes, QObject* parent);
   bool isSequential() const override { return true; }
   bool reset() override { return false; }
--- a/libs/http/include/turmeric/http/responder.h
+++ b/libs/http/include/turmeric/http/responder.h
@@ -15,15 +15,16 @@
 class Exchange;
 }
 
-/** Extra response headers, name and value. */
+/** Additional response headers, name and value. */
 using Headers = std::vector<std::pair<QByteArray, QByteArray>>;
 
 /**
- * The answer to one request, written now or later. It outlives the caller's
- * connection: writes after the caller has gone are dropped. Answers on one
- * connection leave in the order of their requests, whichever is ready
- * first. A responder destroyed without an answer closes the connection, so
- * no caller waits for ever. Movable, not copyable; event-loop thread only.
+ * Writes the response to one request, at once or later. It may outlive the
+ * caller's connection: writes after the caller has disconnected are dropped.
+ * Responses on one connection are sent in the order of their requests,
+ * independent of the order in which they are ready. A responder that is
+ * destroyed without a response aborts the connection, so that the caller does
+ * not wait forever. Movable, not copyable; event-loop thread only.
  */
 class Responder {
  public:
@@ -37,39 +38,41 @@
   ~Responder();
 
   /**
-   * Writes a whole answer and finishes.
+   * Writes a complete response and finishes.
    * @param status HTTP status.
    * @param content_type media type of the body.
    * @param body the body.
-   * @param headers extra headers.
+   * @param headers additional headers.
    */
-  void WriteWhole(int status, const QByteArray& content_type,
-                  const QByteArray& body, const Headers& headers = {});
+  void WriteResponse(int status, const QByteArray& content_type,
+                     const QByteArray& body, const Headers& headers = {});
   /**
-   * Starts a chunked answer with status 200.
+   * Starts a chunked response with status 200.
    * @param content_type media type of the stream.
-   * @param headers extra headers.
+   * @param headers additional headers.
    */
   void StartStream(const QByteArray& content_type, const Headers& headers = {});
   /** @param bytes one chunk of a started stream; must not be empty. */
   void WriteChunk(const QByteArray& bytes);
   /** Ends a started stream as complete. */
   void EndStream();
-  /** Closes the connection so that the answer cannot look complete. */
+  /** Aborts the connection, so that the response cannot appear complete. */
   void Abort();
-  /** Closes once all that was written has been sent; a stream without its end
-   * cannot look complete. */
+  /** Closes the connection once all written bytes have been sent. A stream that
+   * was not ended cannot appear complete. */
   void CloseAfterSending();
-  /** The whole answer to come is the last on its connection, and says so. */
-  void CloseAfterwards() { closes_ = true; }
-  /** @return true once the caller's connection is gone. */
-  bool gone() const;
-  /** @param callback called once when the caller goes before the answer. */
-  void OnGone(std::function<void()> callback);
+  /** Closes the connection after the response written by WriteResponse, which
+   * carries `Connection: close`. */
+  void CloseAfterResponse() { close_after_response_ = true; }
+  /** @return true once the caller has disconnected. */
+  bool disconnected() const;
+  /** @param callback called once if the caller disconnects before the response
+   * is finished. */
+  void OnDisconnected(std::function<void()> callback);
 
  private:
   std::shared_ptr<details::Exchange> exchange_;
-  bool closes_ = false;
+  bool close_after_response_ = false;
 };
 
 }  // namespace turmeric::http
--- a/libs/http/include/turmeric/http/router_server.h
+++ b/libs/http/include/turmeric/http/router_server.h
@@ -10,13 +10,13 @@
 
 namespace turmeric::http {
 
-/** Handles one request; may keep the responder and answer later. */
+/** Handles one request; may keep the responder and respond later. */
 using Handler = std::function<void(const QHttpServerRequest&, Responder&&)>;
 
 /**
- * A small HTTP server on Qt's QAbstractHttpServer that routes by method and
- * path prefix, and lets handlers answer asynchronously (the responder is
- * moved into the handler).
+ * HTTP server on Qt's QAbstractHttpServer that routes requests by method and
+ * path prefix. The responder is moved into the handler, which may respond
+ * asynchronously.
  */
 class RouterServer : public QAbstractHttpServer {
  public:
@@ -45,11 +45,11 @@
 };
 
 /**
- * Writes a whole JSON answer.
+ * Writes a complete JSON response.
  * @param responder the responder.
  * @param status HTTP status code.
  * @param body JSON body.
- * @param headers extra headers.
+ * @param headers additional headers.
  */
 void WriteJson(Responder& responder, int status, const QByteArray& body,
                const Headers& headers = {});
--- a/libs/http/include/turmeric/http/server_connection.h
+++ b/libs/http/include/turmeric/http/server_connection.h
@@ -16,15 +16,16 @@
 
 class TcpSocket;
 
-/** What a client may send, and how long it may take. */
+/** Limits on the size of requests and on the time to receive them. */
 struct ServerLimits {
   size_t max_header_bytes = 16 * 1024;
   size_t max_body_bytes = 4 * 1024 * 1024;
-  std::chrono::milliseconds header_timeout{3000};  ///< First byte to whole.
-  std::chrono::milliseconds idle_timeout{15000};   ///< Between requests.
+  std::chrono::milliseconds header_timeout{
+      3000};                                      ///< First byte to whole head.
+  std::chrono::milliseconds idle_timeout{15000};  ///< Between requests.
 };
 
-/** A whole answer. */
+/** A complete response. */
 struct ResponseMessage {
   int status = 200;
   std::vector<HeaderField> headers;
@@ -32,52 +33,55 @@
 };
 
 /**
- * The server's side of one HTTP/1.1 connection: requests are read one at a
- * time, and the next is parsed only when the last is answered, so answers
- * cannot cross. Malformed, oversized or slow requests are answered and the
- * connection closed here. Deletes itself when it ends.
+ * Server side of one HTTP/1.1 connection. Requests are read one at a time: the
+ * next is parsed only after the response to the last, so that responses cannot
+ * be mixed up. Malformed, oversized or slow requests are rejected with an error
+ * status, and the connection is closed. The object deletes itself when the
+ * connection ends.
  */
 class ServerConnection : public QObject {
  public:
-  /** Gets a whole request; must answer it now or later. */
+  /** Receives a complete request and must respond to it, at once or later. */
   using RequestHandler =
       std::function<void(ServerConnection&, RequestMessage&&)>;
-  /** Gives the limits in force; asked for each request. */
+  /** Returns the limits in force; called for each request. */
   using LimitsSource = std::function<ServerLimits()>;
 
   /**
    * @param fd a connected, non-blocking socket; owned.
-   * @param limits limits in force. @param handler gets each request.
+   * @param limits returns the limits in force. @param handler called with each
+   * request.
    * @param parent Qt owner.
    */
   ServerConnection(int fd, LimitsSource limits, RequestHandler handler,
                    QObject* parent);
   ~ServerConnection() override;
 
-  /** @param callback called once if the client goes before its answer. */
-  void set_on_gone(std::function<void()> callback) {
-    on_gone_ = std::move(callback);
+  /** @param callback called once if the client disconnects before the response
+   * is finished. */
+  void set_on_disconnected(std::function<void()> callback) {
+    on_disconnected_ = std::move(callback);
   }
-  /** @param callback called when written bytes have all left. */
+  /** @param callback called when all written bytes have been sent. */
   void set_on_drained(std::function<void()> callback) {
     on_drained_ = std::move(callback);
   }
-  /** @param response the whole answer to the open request. */
+  /** @param response the complete response to the open request. */
   void Respond(const ResponseMessage& response);
-  /** Starts a chunked answer. @param status its status. @param headers its
-   * fields. */
+  /** Starts a chunked response. @param status HTTP status. @param headers
+   * header fields. */
   void StartChunked(int status, std::span<const HeaderField> headers);
-  /** @param bytes next part of a started answer; empty writes nothing. */
+  /** @param bytes next part of a started response; empty writes nothing. */
   void WriteChunk(std::string_view bytes);
-  /** Ends a started answer as complete. */
+  /** Completes a started response. */
   void EndChunked();
-  /** Closes so that an open answer cannot look complete. */
+  /** Resets the connection, so that an open response cannot appear complete. */
   void Abort();
-  /** Closes after the open answer, or now if there is none. */
+  /** Closes after the response to the open request, or now if there is none. */
   void CloseWhenIdle();
-  /** @return true while a request waits for its answer. */
+  /** @return true while the response to a request is not finished. */
   bool busy() const { return busy_; }
-  /** @return answer bytes the client has not taken yet. */
+  /** @return response bytes that have not been handed to the system yet. */
   size_t unsent() const;
 
  private:
@@ -85,25 +89,25 @@
   void ParseNext();
   void Reject(int status);
   void OnEnd();
-  void FinishAnswer();
+  void FinishResponse();
   void WriteHead(int status, std::span<const HeaderField> headers,
                  std::string& out);
   void Close();
-  void CloseIdle();
-  void NotifyGone();
+  void CloseIfIdle();
+  void NotifyDisconnected();
 
   LimitsSource limits_source_;
   RequestHandler handler_;
-  std::function<void()> on_gone_;
+  std::function<void()> on_disconnected_;
   std::function<void()> on_drained_;
-  TcpSocket* socket_;  ///< Child object; released when closing in order.
+  TcpSocket* socket_;  ///< Child object; released on an orderly close.
   std::unique_ptr<RequestParser> parser_;
-  std::string pending_;
-  QTimer timer_;  ///< Header or idle timeout, whichever is running.
+  std::string unparsed_;
+  QTimer timer_;  ///< Header timeout or idle timeout.
   bool busy_ = false;
   bool keep_alive_ = true;
   bool close_when_idle_ = false;
-  bool reading_ = false;
+  bool reading_ = false;  ///< A request has been received in part.
 };
 
 }  // namespace turmeric::http
--- a/libs/http/include/turmeric/http/sse.h
+++ b/libs/http/include/turmeric/http/sse.h
@@ -6,14 +6,14 @@
 namespace turmeric::http {
 
 /**
- * Splits a text/event-stream body into complete events' data fields,
- * keeping an incomplete tail for the next read.
+ * Extracts the data fields of complete events from a text/event-stream body.
+ * An incomplete event is kept until the next call.
  */
 class SseParser {
  public:
   /**
    * @param bytes newly received bytes.
-   * @return the `data:` payload of each event completed by them.
+   * @return the payload of each `data:` line of the events completed by them.
    */
   std::vector<QByteArray> Feed(const QByteArray& bytes);
 
@@ -21,10 +21,10 @@
   QByteArray buffer_;
 };
 
-/** @param data payload. @return one SSE event, "data: ...\n\n". */
+/** @param data payload. @return an SSE event, "data: ...\n\n". */
 QByteArray SseEvent(const QByteArray& data);
 
-/** @param payload bytes. @return one HTTP/1.1 chunk of them. */
+/** @param payload bytes. @return an HTTP/1.1 chunk with these bytes. */
 QByteArray HttpChunk(const QByteArray& payload);
 
 }  // namespace turmeric::http
--- a/libs/http/include/turmeric/http/tcp_socket.h
+++ b/libs/http/include/turmeric/http/tcp_socket.h
@@ -11,83 +11,88 @@
 
 namespace turmeric::http {
 
-/** An IPv4 address and port, "ip:port" in text. */
+/** An IPv4 address and port; its text form is "ip:port". */
 struct Endpoint {
   std::string ip;
   uint16_t port = 0;
 };
 
-/** @param text "ip:port". @return it decoded; port 0 if malformed. */
+/** @param text "ip:port". @return the endpoint; port 0 if malformed. */
 Endpoint ParseEndpoint(std::string_view text);
 
 /** Why a socket is no longer usable. */
 enum class SocketEnd {
-  kOrderly,        ///< The peer closed; all it sent has been read.
-  kReset,          ///< Reset, or silent beyond the timeouts: bytes may lack.
-  kConnectFailed,  ///< Never connected: nothing has left us.
+  kOrderly,        ///< The peer closed; all sent bytes were read.
+  kReset,          ///< Reset or timed out: bytes may be missing.
+  kConnectFailed,  ///< Never connected: no byte was sent.
 };
 
-/** Called from the event loop; each may be empty. */
+/** Callbacks, called from the event loop; each may be empty. */
 struct SocketEvents {
   std::function<void()> on_connected;
   std::function<void(std::string_view)> on_bytes;
   std::function<void(SocketEnd)> on_end;
-  std::function<void()> on_drained;  ///< All written bytes have left us.
+  std::function<void()> on_drained;  ///< All written bytes have been sent.
 };
 
 /**
- * A non-blocking TCP connection on Qt's event loop. Qt's own QTcpSocket
- * reports a reset as an orderly close, and a body that ends with its
- * connection would then look complete; this one tells them apart. It also
- * sets TCP_USER_TIMEOUT and keep-alive probes before the first byte, so that
- * a peer gone silent ends the socket. Event-loop thread only.
+ * A non-blocking TCP connection on Qt's event loop. Unlike QTcpSocket, which
+ * reports a connection reset as an orderly close, it distinguishes the two;
+ * otherwise a truncated body that is delimited by the end of the connection
+ * would appear complete. It also sets TCP_USER_TIMEOUT and keep-alive probes
+ * before the first byte, so that an unreachable peer ends the connection.
+ * Event-loop thread only.
  */
 class TcpSocket : public QObject {
  public:
   /**
    * Starts a connection.
-   * @param peer where to. @param connect_timeout for the handshake, ms.
+   * @param peer remote address. @param connect_timeout timeout of the TCP
+   * handshake.
    * @param parent Qt owner.
    */
   TcpSocket(const Endpoint& peer, std::chrono::milliseconds connect_timeout,
             QObject* parent);
-  /** @param fd a connected, non-blocking socket; owned. @param parent owner. */
+  /** @param fd connected non-blocking socket; owned. @param parent Qt owner. */
   TcpSocket(int fd, QObject* parent);
   ~TcpSocket() override;
 
   /** @param events the callbacks. */
   void set_events(SocketEvents events) { events_ = std::move(events); }
-  /** @param bytes queued, sent as the peer reads. */
+  /** Sends bytes, and buffers those that the system does not accept yet.
+   * @param bytes the bytes. */
   void Write(std::string_view bytes);
-  /** @return bytes accepted by Write and not yet handed to the system. */
-  size_t unsent() const { return out_.size() - out_at_; }
-  /** @return bytes written that the peer's system has not acknowledged. */
+  /** @return bytes buffered by Write and not yet handed to the system. */
+  size_t unsent() const { return send_buffer_.size() - send_offset_; }
+  /** @return bytes written that have not been acknowledged by TCP. */
   size_t unacknowledged() const;
-  /** @param paused true: stop reading, so that the peer is held back. */
+  /** @param paused true: stop reading, which slows the peer by flow control. */
   void PauseReading(bool paused);
-  /** Reads once, as the event loop would if something has come. */
+  /** Reads once, as the event loop does for a readable socket. */
   void ReadNow() { OnReadable(); }
-  /** Closes once all written bytes have left and the peer has closed, and
-   * deletes itself; no more callbacks. */
+  /** Closes once all written bytes have been sent and the peer has closed, or
+   * after a timeout, and deletes this object; no more callbacks. */
   void CloseAfterFlush();
-  /** Closes at once and deletes itself; what comes later is reset, unread. No
-   * more callbacks. For a connection with nothing unacknowledged. */
+  /** Closes at once and deletes this object; no more callbacks. Bytes received
+   * later are answered with a reset, unread. The caller makes sure that no
+   * written bytes are unacknowledged, as a reset would discard them. */
   void CloseNow();
-  /** Closes with a reset, so that an open answer looks cut; no callbacks. */
+  /** Closes with a reset, so that an open response appears truncated; no more
+   * callbacks. */
   void Abort();
-  /** @return true while bytes can go either way. */
+  /** @return true while bytes can be sent and received. */
   bool open() const { return fd_ >= 0 && connected_ && !closing_; }
   /** @return true once the connection was established. */
   bool connected() const { return connected_; }
-  /** @return true if the peer's machine answered that nobody listens there. */
-  bool refused() const { return refused_; }
+  /** @return true if the peer's host refused or reset the connect attempt. */
+  bool connection_refused() const { return connection_refused_; }
 
  private:
-  void Arm();
+  void EnableNotifiers();
   void OnReadable();
   void OnWritable();
   void FinishConnect();
-  void NoteConnectError(int error);
+  void RecordConnectError(int error);
   bool Flush();
   void WaitForFlush();
   void FinishClose();
@@ -96,13 +101,13 @@
 
   int fd_ = -1;
   bool connected_ = false;
-  bool refused_ = false;
+  bool connection_refused_ = false;
   bool closing_ = false;
-  std::string out_;
-  size_t out_at_ = 0;
+  std::string send_buffer_;
+  size_t send_offset_ = 0;
   SocketEvents events_;
-  std::unique_ptr<QSocketNotifier> reads_;
-  std::unique_ptr<QSocketNotifier> writes_;
+  std::unique_ptr<QSocketNotifier> read_notifier_;
+  std::unique_ptr<QSocketNotifier> write_notifier_;
 };
 
 }  // namespace turmeric::http
--- a/libs/http/src/client_connection.cc
+++ b/libs/http/src/client_connection.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Idle time trusted where the server states none; common servers close
- * after five seconds and more. */
+/** Keep-alive timeout assumed if the server states none. Common servers close
+ * idle connections after 5 s or more. */
 constexpr std::chrono::milliseconds kDefaultKeepAlive{3000};
 
 std::chrono::milliseconds KeepAliveTimeout(const ResponseHead& head) {
@@ -39,73 +39,73 @@
 
 ClientConnection::~ClientConnection() = default;
 
-void ClientConnection::NewParser() {
+void ClientConnection::ResetParser() {
   parser_ = std::make_unique<ResponseParser>(ResponseSink{
       .on_head = [this](ResponseHead&& head) { OnHead(std::move(head)); },
       .on_body =
           [this](std::string_view bytes) {
-            if (!skipping_ && events_.on_body) events_.on_body(bytes);
+            if (!skipping_response_ && events_.on_body) events_.on_body(bytes);
           }});
-  if (answers_head_) parser_->ExpectNoBody();
+  if (is_head_request_) parser_->ExpectNoBody();
 }
 
 void ClientConnection::Send(std::string_view bytes, ExchangeEvents events) {
   events_ = std::move(events);
   busy_ = true;
-  answers_head_ = bytes.starts_with("HEAD ");
-  NewParser();
+  is_head_request_ = bytes.starts_with("HEAD ");
+  ResetParser();
   socket_->Write(bytes);
 }
 
 void ClientConnection::OnBytes(std::string_view bytes) {
   if (!busy_) {
-    // Guard: bytes on an idle connection belong to no request (an answer
-    // sent twice, or late). Kept, they would be read as the answer to the
-    // next request; so the connection ends here.
+    // Guard: bytes on an idle connection belong to no request (a duplicate or
+    // late response). If they were kept, they would be parsed as the response
+    // to the next request, so the connection is aborted.
     broken_ = true;
     socket_->Abort();
     if (auto callback = std::exchange(on_idle_end_, nullptr)) callback();
     return;
   }
-  pending_.append(bytes);
-  ParsePending();
+  unparsed_.append(bytes);
+  ParseReceived();
 }
 
-void ClientConnection::ParsePending() {
-  while (busy_ && !pending_.empty()) {
-    const ParseOutcome outcome = parser_->Feed(pending_);
-    // Cancelled by a callback.
+void ClientConnection::ParseReceived() {
+  while (busy_ && !unparsed_.empty()) {
+    const ParseOutcome outcome = parser_->Feed(unparsed_);
+    // A callback has cancelled the exchange.
     if (!busy_) return;
-    pending_.erase(0, outcome.consumed);
+    unparsed_.erase(0, outcome.consumed);
     if (outcome.status == ParseStatus::kNeedMore) return;
     if (outcome.status != ParseStatus::kDone) {
       return Fail(ExchangeFailure::kMalformed);
     }
-    OnDone();
+    OnResponseComplete();
   }
 }
 
 void ClientConnection::OnHead(ResponseHead&& head) {
   constexpr int kFirstFinalStatus = 200;
-  skipping_ = head.status < kFirstFinalStatus;
-  if (skipping_) return;
+  skipping_response_ = head.status < kFirstFinalStatus;
+  if (skipping_response_) return;
   keep_alive_ = KeepAliveTimeout(head);
   if (events_.on_head && !events_.on_head(head)) {
-    skipping_ = true;
-    broken_ = true;  // What else lies on the connection is unknown.
+    skipping_response_ = true;
+    broken_ = true;  // Further foreign responses may follow.
   }
 }
 
-void ClientConnection::OnDone() {
-  if (skipping_) {
-    skipping_ = false;
-    NewParser();
+void ClientConnection::OnResponseComplete() {
+  if (skipping_response_) {
+    skipping_response_ = false;
+    ResetParser();
     return;
   }
   busy_ = false;
   used_ = true;
   idle_since_ = std::chrono::steady_clock::now();
-  if (!parser_->keep_alive() || !pending_.empty() || socket_->unsent() > 0) {
+  if (!parser_->keep_alive() || !unparsed_.empty() || socket_->unsent() > 0) {
     broken_ = true;
   }
   if (broken_) socket_->Abort();
@@ -120,8 +120,8 @@
     return;
   }
   if (end == SocketEnd::kConnectFailed) return Fail(ExchangeFailure::kNotSent);
-  if (end == SocketEnd::kOrderly && !skipping_ && parser_->FeedEnd()) {
-    return OnDone();
+  if (end == SocketEnd::kOrderly && !skipping_response_ && parser_->FeedEnd()) {
+    return OnResponseComplete();
   }
   Fail(parser_->started() ? ExchangeFailure::kTruncated
                           : ExchangeFailure::kNoAnswer);
@@ -140,9 +140,9 @@
   busy_ = false;
   on_idle_end_ = nullptr;
   socket_->Abort();
-  // Guard: the events may hold the last reference to the exchange that
-  // cancels here, and its end calls Cancel again. They are out of the way
-  // before they are destroyed.
+  // Guard: the callbacks may hold the last reference to the object that calls
+  // Cancel, and its destructor calls Cancel again. They are moved out of
+  // events_ before they are destroyed.
   const ExchangeEvents dropped = std::exchange(events_, {});
 }
 
--- a/libs/http/src/details/exchange.cc
+++ b/libs/http/src/details/exchange.cc
@@ -7,36 +7,37 @@
 
 QTcpSocket* Exchange::socket() const {
   // Guard: Qt's responder keeps a raw socket pointer. When the caller
-  // disconnects, Qt deletes the socket, and a later write crashes the
-  // process (and cuts every other caller). The QPointer turns null then, and
-  // no write reaches the responder without passing here.
+  // disconnects, Qt deletes the socket, and a later write would crash the
+  // process and so end all other connections. The QPointer becomes null then,
+  // and every write to the responder checks this function first.
   if (socket_.isNull()) return nullptr;
   return socket_->state() == QAbstractSocket::ConnectedState ? socket_.data()
                                                              : nullptr;
 }
 
-void Exchange::Do(Write write) {
+void Exchange::WriteOrDefer(WriteFunction write) {
   if (socket() == nullptr) return;
-  if (has_turn_) {
+  if (active_) {
     write(responder_);
   } else {
-    waiting_.push_back(std::move(write));
+    deferred_writes_.push_back(std::move(write));
   }
 }
 
-void Exchange::TakeTurn() {
-  has_turn_ = true;
-  const std::vector<Write> writes = std::exchange(waiting_, {});
-  std::ranges::for_each(writes, [this](const Write& w) { Do(w); });
+void Exchange::Activate() {
+  active_ = true;
+  const std::vector<WriteFunction> writes = std::exchange(deferred_writes_, {});
+  std::ranges::for_each(writes,
+                        [this](const WriteFunction& w) { WriteOrDefer(w); });
 }
 
 void Exchange::Finish() {
   finished_ = true;
-  on_gone_ = nullptr;
+  on_disconnected_ = nullptr;
 }
 
-void Exchange::NotifyGone() {
-  if (auto callback = std::exchange(on_gone_, nullptr)) callback();
+void Exchange::NotifyDisconnected() {
+  if (auto callback = std::exchange(on_disconnected_, nullptr)) callback();
 }
 
 }  // namespace turmeric::http::details
--- a/libs/http/src/details/exchange.h
+++ b/libs/http/src/details/exchange.h
@@ -8,39 +8,43 @@
 
 namespace turmeric::http::details {
 
-/** One request's answer on a caller's connection, written in its turn. */
+/** The response to one request on a caller's connection. It is written once all
+ * earlier responses on the connection are complete. */
 class Exchange {
  public:
-  using Write = std::function<void(QHttpServerResponder&)>;
+  using WriteFunction = std::function<void(QHttpServerResponder&)>;
 
-  /** @param responder Qt's writer. @param socket the caller's connection. */
+  /** @param responder Qt's writer for this request. @param socket the caller's
+   * connection. */
   Exchange(QHttpServerResponder&& responder, QTcpSocket* socket)
       : responder_(std::move(responder)), socket_(socket) {}
 
-  /** @param write applied now if it is this answer's turn, else then. */
-  void Do(Write write);
-  /** Marks the answer complete; the connection's next one may follow. */
+  /** @param write called at once if this response is active, otherwise once it
+   * becomes active. */
+  void WriteOrDefer(WriteFunction write);
+  /** Marks the response as complete. */
   void Finish();
-  /** This answer's turn has come: flushes what waited. */
-  void TakeTurn();
-  /** The connection is gone: tells the owner once. */
-  void NotifyGone();
+  /** Makes this the active response of its connection and runs the deferred
+   * writes. */
+  void Activate();
+  /** Calls the callback of set_on_disconnected, once. */
+  void NotifyDisconnected();
 
-  /** @return true once the answer is complete. */
+  /** @return true once the response is complete. */
   bool finished() const { return finished_; }
-  /** @return the connection, or nullptr once it is gone. */
+  /** @return the connection, or nullptr once the caller has disconnected. */
   QTcpSocket* socket() const;
-  /** @param callback see Responder::OnGone. */
-  void set_on_gone(std::function<void()> callback) {
-    on_gone_ = std::move(callback);
+  /** @param callback see Responder::OnDisconnected. */
+  void set_on_disconnected(std::function<void()> callback) {
+    on_disconnected_ = std::move(callback);
   }
 
  private:
   QHttpServerResponder responder_;
   QPointer<QTcpSocket> socket_;
-  std::vector<Write> waiting_;
-  std::function<void()> on_gone_;
-  bool has_turn_ = false;
+  std::vector<WriteFunction> deferred_writes_;
+  std::function<void()> on_disconnected_;
+  bool active_ = false;
   bool finished_ = false;
 };
 
--- a/libs/http/src/details/response_queue.cc
+++ b/libs/http/src/details/response_queue.cc
@@ -8,34 +8,35 @@
 
 namespace turmeric::http::details {
 
-ConnectionOrder::ConnectionOrder(QTcpSocket* socket) : QObject(socket) {
+ResponseQueue::ResponseQueue(QTcpSocket* socket) : QObject(socket) {
   connect(socket, &QTcpSocket::disconnected, this, [this] {
     const auto open = std::exchange(open_, {});
-    std::ranges::for_each(open, &Exchange::NotifyGone,
+    std::ranges::for_each(open, &Exchange::NotifyDisconnected,
                           [](const auto& e) -> Exchange& { return *e; });
   });
 }
 
-ConnectionOrder& ConnectionOrder::Of(QTcpSocket* socket) {
+ResponseQueue& ResponseQueue::ForConnection(QTcpSocket* socket) {
   for (QObject* child : socket->children()) {
-    if (auto* order = dynamic_cast<ConnectionOrder*>(child)) return *order;
+    if (auto* queue = dynamic_cast<ResponseQueue*>(child)) return *queue;
   }
-  return *new ConnectionOrder(socket);
+  return *new ResponseQueue(socket);
 }
 
-void ConnectionOrder::Append(std::shared_ptr<Exchange> exchange) {
+void ResponseQueue::Append(std::shared_ptr<Exchange> exchange) {
   open_.push_back(std::move(exchange));
-  if (open_.size() == 1) open_.front()->TakeTurn();
+  if (open_.size() == 1) open_.front()->Activate();
 }
 
-void ConnectionOrder::Advance() {
-  // Guard: a caller may send its next request before the first is answered
-  // (HTTP pipelining), and the second may be ready first. Written at once it
-  // would be read as the answer to the first. Only the front exchange
-  // writes; the others wait, so answers leave in request order.
+void ResponseQueue::Advance() {
+  // Guard: with HTTP pipelining, a caller sends its next request before it has
+  // received the first response, and the second response may be ready first.
+  // If that was written at once, the caller would take it for the first
+  // response. Only the front exchange writes; writes of the others are
+  // deferred, so that responses are sent in request order.
   while (!open_.empty() && open_.front()->finished()) {
     open_.pop_front();
-    if (!open_.empty()) open_.front()->TakeTurn();
+    if (!open_.empty()) open_.front()->Activate();
   }
 }
 
--- a/libs/http/src/details/response_queue.h
+++ b/libs/http/src/details/response_queue.h
@@ -11,20 +11,21 @@
 class Exchange;
 
 /**
- * The open exchanges of one connection, in request order. A child of the
- * socket: it lives exactly as long as the connection.
+ * The open exchanges of one connection, in request order. The queue is a child
+ * object of the socket, so it lives exactly as long as the connection.
  */
-class ConnectionOrder : public QObject {
+class ResponseQueue : public QObject {
  public:
-  /** @param socket a caller's connection. @return its order, made if new. */
-  static ConnectionOrder& Of(QTcpSocket* socket);
-  /** @param exchange the connection's newest request. */
+  /** @param socket a caller's connection. @return the queue of the connection,
+   * created on the first call. */
+  static ResponseQueue& ForConnection(QTcpSocket* socket);
+  /** @param exchange exchange of the newest request on the connection. */
   void Append(std::shared_ptr<Exchange> exchange);
-  /** Lets the answers whose turn has come go out. */
+  /** Removes finished exchanges from the front and activates the next one. */
   void Advance();
 
  private:
-  explicit ConnectionOrder(QTcpSocket* socket);
+  explicit ResponseQueue(QTcpSocket* socket);
 
   std::deque<std::shared_ptr<Exchange>> open_;
 };
--- a/libs/http/src/http_call.cc
+++ b/libs/http/src/http_call.cc
@@ -7,10 +7,10 @@
 
 namespace turmeric::http {
 
-HttpAnswer HttpCall(QNetworkAccessManager& network, const QByteArray& method,
-                    const QString& url, const QByteArray& body,
-                    const QList<QPair<QByteArray, QByteArray>>& headers,
-                    int timeout_ms) {
+HttpResponse HttpCall(QNetworkAccessManager& network, const QByteArray& method,
+                      const QString& url, const QByteArray& body,
+                      const QList<QPair<QByteArray, QByteArray>>& headers,
+                      int timeout_ms) {
   QNetworkRequest request{QUrl(url)};
   request.setTransferTimeout(timeout_ms);
   request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
@@ -21,16 +21,16 @@
   QEventLoop loop;
   QObject::connect(reply, &QNetworkReply::finished, &loop, &QEventLoop::quit);
   loop.exec();
-  HttpAnswer answer;
-  answer.status =
+  HttpResponse response;
+  response.status =
       reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
-  answer.body = reply->readAll();
-  answer.headers = reply->rawHeaderPairs();
-  if (reply->error() != QNetworkReply::NoError && answer.status == 0) {
-    answer.error = reply->errorString();
+  response.body = reply->readAll();
+  response.headers = reply->rawHeaderPairs();
+  if (reply->error() != QNetworkReply::NoError && response.status == 0) {
+    response.error = reply->errorString();
   }
   reply->deleteLater();
-  return answer;
+  return response;
 }
 
 }  // namespace turmeric::http
--- a/libs/http/src/listener.cc
+++ b/libs/http/src/listener.cc
@@ -11,10 +11,11 @@
 
 namespace {
 
-/** Connections that may wait to be accepted: a herd of returning clients. */
+/** Connections that may wait to be accepted; many clients may reconnect at the
+ * same time. */
 constexpr int kBacklog = 512;
-/** Connections accepted in one turn of the event loop. */
-constexpr int kAcceptsPerTurn = 16;
+/** Connections accepted in one iteration of the event loop. */
+constexpr int kMaxAcceptsPerIteration = 16;
 
 }  // namespace
 
@@ -58,7 +59,7 @@
 }
 
 void Listener::Accept() {
-  for (int i = 0; i < kAcceptsPerTurn && fd_ >= 0; ++i) {
+  for (int i = 0; i < kMaxAcceptsPerIteration && fd_ >= 0; ++i) {
     const int fd =
         ::accept4(fd_, nullptr, nullptr, SOCK_NONBLOCK | SOCK_CLOEXEC);
     if (fd < 0) return;
--- a/libs/http/src/message_parser.cc
+++ b/libs/http/src/message_parser.cc
@@ -14,14 +14,14 @@
 using boost::beast::error_code;
 using boost::beast::string_view;
 
-/** Longest head of an answer accepted from an upstream, bytes. */
-constexpr uint32_t kMaxResponseHeader = 64 * 1024;
+/** Largest response head accepted from an upstream. */
+constexpr uint32_t kMaxResponseHeaderBytes = 64 * 1024;
 
 std::string_view View(string_view text) { return {text.data(), text.size()}; }
 
-/** Translates one put() of a Beast parser. */
+/** Feeds a Beast parser until it is done, fails or needs more bytes. */
 template <class Parser>
-ParseOutcome FeedTo(Parser& parser, std::string_view bytes) {
+ParseOutcome FeedParser(Parser& parser, std::string_view bytes) {
   ParseOutcome outcome;
   while (!parser.is_done() && outcome.consumed < bytes.size()) {
     error_code ec;
@@ -67,10 +67,11 @@
         {std::string(View(name)), std::string(View(value))});
   }
   void on_header_impl(error_code& ec) override {
-    // Guard: Beast reads a body with an unknown transfer coding as empty,
-    // and what follows as the next request; an upstream that reads it
-    // otherwise would run a request that nobody sent. Two Host fields can
-    // likewise be read as two different requests.
+    // Guard against request smuggling: Beast reads a body with an unknown
+    // transfer coding as empty and the bytes after the head as the next
+    // request. An upstream that reads the body otherwise would run a request
+    // that no client sent. A request with two Host fields can likewise be read
+    // as two different requests.
     for (const HeaderField& field : message.headers) {
       if (EqualsIgnoringCase(field.name, "Transfer-Encoding") &&
           !EqualsIgnoringCase(field.value, "chunked")) {
@@ -109,7 +110,7 @@
 RequestParser::~RequestParser() = default;
 
 ParseOutcome RequestParser::Feed(std::string_view bytes) {
-  return FeedTo(*impl_, bytes);
+  return FeedParser(*impl_, bytes);
 }
 
 bool RequestParser::head_done() const { return impl_->is_header_done(); }
@@ -150,15 +151,15 @@
 ResponseParser::ResponseParser(ResponseSink sink)
     : impl_(std::make_unique<Impl>()) {
   impl_->sink = std::move(sink);
-  impl_->header_limit(kMaxResponseHeader);
-  // Beast 1.74 takes boost::none for a limit that every body exceeds.
+  impl_->header_limit(kMaxResponseHeaderBytes);
+  // Beast 1.74 treats boost::none as a limit that every body exceeds.
   impl_->body_limit(std::numeric_limits<std::uint64_t>::max());
 }
 
 ResponseParser::~ResponseParser() = default;
 
 ParseOutcome ResponseParser::Feed(std::string_view bytes) {
-  return FeedTo(*impl_, bytes);
+  return FeedParser(*impl_, bytes);
 }
 
 bool ResponseParser::FeedEnd() {
--- a/libs/http/src/responder.cc
+++ b/libs/http/src/responder.cc
@@ -9,8 +9,8 @@
 
 namespace turmeric::http {
 
-using details::ConnectionOrder;
 using details::Exchange;
+using details::ResponseQueue;
 
 namespace {
 
@@ -24,7 +24,7 @@
 void FinishExchange(Exchange& exchange) {
   exchange.Finish();
   if (QTcpSocket* socket = exchange.socket()) {
-    ConnectionOrder::Of(socket).Advance();
+    ResponseQueue::ForConnection(socket).Advance();
   }
 }
 
@@ -32,7 +32,7 @@
 
 Responder::Responder(QHttpServerResponder&& responder, QTcpSocket* socket)
     : exchange_(std::make_shared<Exchange>(std::move(responder), socket)) {
-  ConnectionOrder::Of(socket).Append(exchange_);
+  ResponseQueue::ForConnection(socket).Append(exchange_);
 }
 
 Responder::Responder(Responder&&) noexcept = default;
@@ -42,15 +42,16 @@
   if (exchange_ && !exchange_->finished()) Abort();
 }
 
-void Responder::WriteWhole(int status, const QByteArray& content_type,
-                           const QByteArray& body, const Headers& headers) {
-  exchange_->Do([=, closes = closes_](QHttpServerResponder& out) {
-    WriteHead(out, status, content_type, headers);
-    if (closes) out.writeHeader("Connection", "close");
-    out.writeHeader("Content-Length", QByteArray::number(body.size()));
-    out.writeBody(body);
-  });
-  if (closes_) {
+void Responder::WriteResponse(int status, const QByteArray& content_type,
+                              const QByteArray& body, const Headers& headers) {
+  exchange_->WriteOrDefer(
+      [=, closes = close_after_response_](QHttpServerResponder& out) {
+        WriteHead(out, status, content_type, headers);
+        if (closes) out.writeHeader("Connection", "close");
+        out.writeHeader("Content-Length", QByteArray::number(body.size()));
+        out.writeBody(body);
+      });
+  if (close_after_response_) {
     CloseAfterSending();
   } else {
     FinishExchange(*exchange_);
@@ -60,7 +61,7 @@
 void Responder::StartStream(const QByteArray& content_type,
                             const Headers& headers) {
   constexpr int kOk = 200;
-  exchange_->Do([=](QHttpServerResponder& out) {
+  exchange_->WriteOrDefer([=](QHttpServerResponder& out) {
     WriteHead(out, kOk, content_type, headers);
     out.writeHeader("Transfer-Encoding", "chunked");
     out.writeBody("");
@@ -68,12 +69,13 @@
 }
 
 void Responder::WriteChunk(const QByteArray& bytes) {
-  exchange_->Do(
+  exchange_->WriteOrDefer(
       [=](QHttpServerResponder& out) { out.writeBody(HttpChunk(bytes)); });
 }
 
 void Responder::EndStream() {
-  exchange_->Do([](QHttpServerResponder& out) { out.writeBody("0\r\n\r\n"); });
+  exchange_->WriteOrDefer(
+      [](QHttpServerResponder& out) { out.writeBody("0\r\n\r\n"); });
   FinishExchange(*exchange_);
 }
 
@@ -83,16 +85,17 @@
 }
 
 void Responder::CloseAfterSending() {
-  exchange_->Do([socket = exchange_->socket()](QHttpServerResponder&) {
-    socket->disconnectFromHost();
-  });
+  exchange_->WriteOrDefer(
+      [socket = exchange_->socket()](QHttpServerResponder&) {
+        socket->disconnectFromHost();
+      });
   exchange_->Finish();
 }
 
-bool Responder::gone() const { return exchange_->socket() == nullptr; }
+bool Responder::disconnected() const { return exchange_->socket() == nullptr; }
 
-void Responder::OnGone(std::function<void()> callback) {
-  exchange_->set_on_gone(std::move(callback));
+void Responder::OnDisconnected(std::function<void()> callback) {
+  exchange_->set_on_disconnected(std::move(callback));
 }
 
 }  // namespace turmeric::http
--- a/libs/http/src/router_server.cc
+++ b/libs/http/src/router_server.cc
@@ -33,7 +33,7 @@
 
 void WriteJson(Responder& responder, int status, const QByteArray& body,
                const Headers& headers) {
-  responder.WriteWhole(status, "application/json", body, headers);
+  responder.WriteResponse(status, "application/json", body, headers);
 }
 
 }  // namespace turmeric::http
--- a/libs/http/src/server_connection.cc
+++ b/libs/http/src/server_connection.cc
@@ -14,9 +14,9 @@
 constexpr int kRequestTimeout = 408;
 constexpr int kPayloadTooLarge = 413;
 constexpr int kHeaderTooLarge = 431;
-/** A connection that is idle but for the end of its last answer is looked at
- * again after this: a few ways there and back. */
-constexpr std::chrono::milliseconds kCloseRetry{50};
+/** Delay until an idle connection whose last response is not acknowledged is
+ * checked again: a few round trips. */
+constexpr std::chrono::milliseconds kCloseRetryDelay{50};
 
 std::string HexSize(size_t size) {
   std::array<char, 2 * sizeof(size)> digits;
@@ -52,7 +52,7 @@
   connect(&timer_, &QTimer::timeout, this, [this] {
     if (busy_) return;
     if (reading_) return Reject(kRequestTimeout);
-    CloseIdle();
+    CloseIfIdle();
   });
   timer_.start(limits_source_().idle_timeout);
 }
@@ -64,10 +64,10 @@
 }
 
 void ServerConnection::OnBytes(std::string_view bytes) {
-  pending_.append(bytes);
+  unparsed_.append(bytes);
   if (!busy_) return ParseNext();
-  // A client that sends ahead of its answers is held back by the socket.
-  if (pending_.size() > limits_source_().max_header_bytes) {
+  // A client that sends ahead of its responses is slowed by TCP flow control.
+  if (unparsed_.size() > limits_source_().max_header_bytes) {
     socket_->PauseReading(true);
   }
 }
@@ -75,7 +75,7 @@
 void ServerConnection::ParseNext() {
   const ServerLimits limits = limits_source_();
   if (!reading_) {
-    if (pending_.empty()) {
+    if (unparsed_.empty()) {
       timer_.start(limits.idle_timeout);
       return;
     }
@@ -84,13 +84,13 @@
                                               limits.max_body_bytes);
     timer_.start(limits.header_timeout);
   }
-  const ParseOutcome outcome = parser_->Feed(pending_);
-  pending_.erase(0, outcome.consumed);
+  const ParseOutcome outcome = parser_->Feed(unparsed_);
+  unparsed_.erase(0, outcome.consumed);
   if (outcome.status == ParseStatus::kNeedMore) {
-    // Guard: a body may take as long as an idle connection; only a head
-    // that trickles in is cut by the shorter timeout.
+    // Guard: while a body is received, the idle timeout applies; the shorter
+    // header timeout applies only to a head that is received slowly.
     if (parser_->head_done()) timer_.start(limits.idle_timeout);
-    if (!parser_->head_done() && pending_.size() > limits.max_header_bytes) {
+    if (!parser_->head_done() && unparsed_.size() > limits.max_header_bytes) {
       Reject(kHeaderTooLarge);
     }
     return;
@@ -133,7 +133,7 @@
   AppendHeader(out, "Content-Length", std::to_string(response.body.size()));
   out.append("\r\n").append(response.body);
   socket_->Write(out);
-  FinishAnswer();
+  FinishResponse();
 }
 
 void ServerConnection::StartChunked(int status,
@@ -157,55 +157,55 @@
 void ServerConnection::EndChunked() {
   if (socket_ == nullptr || !busy_) return;
   socket_->Write("0\r\n\r\n");
-  FinishAnswer();
+  FinishResponse();
 }
 
-void ServerConnection::FinishAnswer() {
-  on_gone_ = nullptr;
+void ServerConnection::FinishResponse() {
+  on_disconnected_ = nullptr;
   on_drained_ = nullptr;
   busy_ = false;
   if (!keep_alive_) return Close();
   socket_->PauseReading(false);
-  // The next request is parsed from the event loop, so that a handler which
-  // answers at once does not recurse.
+  // The next request is parsed from the event loop, so that a handler that
+  // responds at once does not recurse.
   timer_.start(limits_source_().idle_timeout);
-  if (!pending_.empty()) {
+  if (!unparsed_.empty()) {
     QTimer::singleShot(0, this, [this] {
       if (!busy_ && socket_ != nullptr) ParseNext();
     });
   }
 }
 
-void ServerConnection::NotifyGone() {
-  if (auto callback = std::exchange(on_gone_, nullptr)) callback();
+void ServerConnection::NotifyDisconnected() {
+  if (auto callback = std::exchange(on_disconnected_, nullptr)) callback();
 }
 
 void ServerConnection::OnEnd() {
   socket_ = nullptr;
   timer_.stop();
-  NotifyGone();
+  NotifyDisconnected();
   deleteLater();
 }
 
 void ServerConnection::Close() {
   if (socket_ == nullptr) return;
   timer_.stop();
-  // Guard: whoever waits for open connections before the process ends waits
-  // for this one until its answer has left the process, not only us.
+  // Guard: a planned stop waits until all connection objects are destroyed.
+  // This object stays until the socket has sent the response to the peer.
   connect(socket_, &QObject::destroyed, this, &QObject::deleteLater);
   std::exchange(socket_, nullptr)->CloseAfterFlush();
 }
 
-void ServerConnection::CloseIdle() {
-  // Guard: the next request may be on its way. If it is here, it is read and
-  // answered; if it comes later, it meets a closed socket and is reset unread,
-  // which tells its caller that nobody has seen it. Read behind the close, it
-  // would end with no answer.
+void ServerConnection::CloseIfIdle() {
+  // Guard: the next request may be in transit. If it has been received, it is
+  // read and handled. If it is received later, the closed socket resets the
+  // connection, so that the caller can infer that the request was not run. If
+  // it was read after the close, it would get no response.
   if (socket_ != nullptr) socket_->ReadNow();
-  if (socket_ == nullptr || busy_ || reading_ || !pending_.empty()) return;
-  // Guard: such a reset would destroy what is left of the last answer, were it
-  // not with the caller yet.
-  if (socket_->unacknowledged() > 0) return timer_.start(kCloseRetry);
+  if (socket_ == nullptr || busy_ || reading_ || !unparsed_.empty()) return;
+  // Guard: a reset would discard the part of the last response that the caller
+  // has not received yet.
+  if (socket_->unacknowledged() > 0) return timer_.start(kCloseRetryDelay);
   timer_.stop();
   std::exchange(socket_, nullptr)->CloseNow();
   deleteLater();
@@ -214,14 +214,14 @@
 void ServerConnection::Abort() {
   if (socket_ == nullptr) return;
   timer_.stop();
-  on_gone_ = nullptr;
+  on_disconnected_ = nullptr;
   std::exchange(socket_, nullptr)->Abort();
   deleteLater();
 }
 
 void ServerConnection::CloseWhenIdle() {
   close_when_idle_ = true;
-  if (!busy_ && !reading_ && pending_.empty()) CloseIdle();
+  if (!busy_ && !reading_ && unparsed_.empty()) CloseIfIdle();
 }
 
 }  // namespace turmeric::http
--- a/libs/http/src/tcp_socket.cc
+++ b/libs/http/src/tcp_socket.cc
@@ -20,24 +20,24 @@
 
 namespace {
 
-/** Unacknowledged bytes or a silent peer end a connection after this, ms.
- * Above three retransmissions on a lossy link, below the three seconds in
- * which a machine is expected to be well again. */
+/** Time after which unacknowledged bytes end a connection. Longer than three
+ * retransmissions on a lossy link take, shorter than the 3 s in which a machine
+ * is expected to recover. */
 constexpr int kUserTimeoutMs = 2500;
-/** Idle time before keep-alive probes, their distance, and how many, s. */
+/** Keep-alive probes: idle time before the first, interval and number. */
 constexpr int kKeepAliveIdleS = 1;
 constexpr int kKeepAliveIntervalS = 1;
 constexpr int kKeepAliveProbes = 2;
-/** Longest wait for the peer to close after us. */
-constexpr std::chrono::milliseconds kCloseWait{1000};
-/** One read; a few large prompts' worth, bytes. */
-constexpr size_t kReadBytes = 32 * 1024;
+/** Longest wait for the peer to close after this side has closed. */
+constexpr std::chrono::milliseconds kCloseTimeout{1000};
+/** Size of the read buffer; it holds a few large prompts. */
+constexpr size_t kReadBufferBytes = 32 * 1024;
 
 void SetOption(int fd, int level, int name, int value) {
   ::setsockopt(fd, level, name, &value, sizeof(value));
 }
 
-void SetTimeouts(int fd) {
+void SetSocketOptions(int fd) {
   SetOption(fd, IPPROTO_TCP, TCP_NODELAY, 1);
   SetOption(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, kUserTimeoutMs);
   SetOption(fd, SOL_SOCKET, SO_KEEPALIVE, 1);
@@ -69,11 +69,11 @@
             ? ::socket(AF_INET, SOCK_STREAM | SOCK_NONBLOCK | SOCK_CLOEXEC, 0)
             : -1;
   if (fd_ >= 0) {
-    SetTimeouts(fd_);
+    SetSocketOptions(fd_);
     const int rc =
         ::connect(fd_, reinterpret_cast<sockaddr*>(&address), sizeof(address));
     if (rc != 0 && errno != EINPROGRESS) {
-      NoteConnectError(errno);
+      RecordConnectError(errno);
       CloseFd();
     }
   }
@@ -81,8 +81,9 @@
     QTimer::singleShot(0, this, [this] { End(SocketEnd::kConnectFailed); });
     return;
   }
-  writes_ = std::make_unique<QSocketNotifier>(fd_, QSocketNotifier::Write);
-  connect(writes_.get(), &QSocketNotifier::activated, this,
+  write_notifier_ =
+      std::make_unique<QSocketNotifier>(fd_, QSocketNotifier::Write);
+  connect(write_notifier_.get(), &QSocketNotifier::activated, this,
           [this] { OnWritable(); });
   QTimer::singleShot(connect_timeout, this, [this] {
     if (!connected_ && fd_ >= 0) End(SocketEnd::kConnectFailed);
@@ -91,26 +92,28 @@
 
 TcpSocket::TcpSocket(int fd, QObject* parent)
     : QObject(parent), fd_(fd), connected_(true) {
-  SetTimeouts(fd_);
-  Arm();
+  SetSocketOptions(fd_);
+  EnableNotifiers();
 }
 
 TcpSocket::~TcpSocket() { CloseFd(); }
 
-void TcpSocket::Arm() {
-  reads_ = std::make_unique<QSocketNotifier>(fd_, QSocketNotifier::Read);
-  connect(reads_.get(), &QSocketNotifier::activated, this,
+void TcpSocket::EnableNotifiers() {
+  read_notifier_ =
+      std::make_unique<QSocketNotifier>(fd_, QSocketNotifier::Read);
+  connect(read_notifier_.get(), &QSocketNotifier::activated, this,
           [this] { OnReadable(); });
-  if (!writes_) {
-    writes_ = std::make_unique<QSocketNotifier>(fd_, QSocketNotifier::Write);
-    connect(writes_.get(), &QSocketNotifier::activated, this,
+  if (!write_notifier_) {
+    write_notifier_ =
+        std::make_unique<QSocketNotifier>(fd_, QSocketNotifier::Write);
+    connect(write_notifier_.get(), &QSocketNotifier::activated, this,
             [this] { OnWritable(); });
   }
-  writes_->setEnabled(unsent() > 0);
+  write_notifier_->setEnabled(unsent() > 0);
 }
 
-void TcpSocket::NoteConnectError(int error) {
-  refused_ = error == ECONNREFUSED || error == ECONNRESET;
+void TcpSocket::RecordConnectError(int error) {
+  connection_refused_ = error == ECONNREFUSED || error == ECONNRESET;
 }
 
 void TcpSocket::FinishConnect() {
@@ -118,11 +121,11 @@
   socklen_t size = sizeof(error);
   ::getsockopt(fd_, SOL_SOCKET, SO_ERROR, &error, &size);
   if (error != 0) {
-    NoteConnectError(error);
+    RecordConnectError(error);
     return End(SocketEnd::kConnectFailed);
   }
   connected_ = true;
-  Arm();
+  EnableNotifiers();
   if (events_.on_connected) events_.on_connected();
   if (fd_ >= 0 && unsent() > 0) OnWritable();
 }
@@ -131,8 +134,8 @@
   if (fd_ < 0) return;
   if (!connected_) return FinishConnect();
   if (!Flush()) return;
-  if (unsent() > 0) return writes_->setEnabled(true);
-  writes_->setEnabled(false);
+  if (unsent() > 0) return write_notifier_->setEnabled(true);
+  write_notifier_->setEnabled(false);
   if (closing_) {
     utils::DecisionLog("close_flushed");
     return FinishClose();
@@ -142,19 +145,19 @@
 
 bool TcpSocket::Flush() {
   while (unsent() > 0) {
-    const ssize_t sent = ::send(fd_, out_.data() + out_at_, unsent(),
-                                MSG_NOSIGNAL | MSG_DONTWAIT);
+    const ssize_t sent = ::send(fd_, send_buffer_.data() + send_offset_,
+                                unsent(), MSG_NOSIGNAL | MSG_DONTWAIT);
     if (sent < 0 && errno == EINTR) continue;
     if (sent < 0 && (errno == EAGAIN || errno == EWOULDBLOCK)) break;
     if (sent < 0) {
       End(SocketEnd::kReset);
       return false;
     }
-    out_at_ += static_cast<size_t>(sent);
+    send_offset_ += static_cast<size_t>(sent);
   }
-  if (out_at_ == out_.size()) {
-    out_.clear();
-    out_at_ = 0;
+  if (send_offset_ == send_buffer_.size()) {
+    send_buffer_.clear();
+    send_offset_ = 0;
   }
   return true;
 }
@@ -162,23 +165,23 @@
 void TcpSocket::Write(std::string_view bytes) {
   if (fd_ < 0 || closing_) return;
   const bool was_empty = unsent() == 0;
-  out_.append(bytes);
+  send_buffer_.append(bytes);
   if (!connected_ || !was_empty) return;
-  // Sent from the event loop's next turn if the system does not take all of
-  // it now: a callback for a failed write must not run inside this call.
-  const ssize_t sent =
-      ::send(fd_, out_.data() + out_at_, unsent(), MSG_NOSIGNAL | MSG_DONTWAIT);
-  if (sent > 0) out_at_ += static_cast<size_t>(sent);
-  if (out_at_ == out_.size()) {
-    out_.clear();
-    out_at_ = 0;
+  // Bytes that the system does not accept now are sent from the event loop. A
+  // failed send is not reported here: the callback must not run inside Write.
+  const ssize_t sent = ::send(fd_, send_buffer_.data() + send_offset_, unsent(),
+                              MSG_NOSIGNAL | MSG_DONTWAIT);
+  if (sent > 0) send_offset_ += static_cast<size_t>(sent);
+  if (send_offset_ == send_buffer_.size()) {
+    send_buffer_.clear();
+    send_offset_ = 0;
   }
-  if (unsent() > 0) writes_->setEnabled(true);
+  if (unsent() > 0) write_notifier_->setEnabled(true);
 }
 
 void TcpSocket::OnReadable() {
   if (fd_ < 0) return;
-  static thread_local std::array<char, kReadBytes> buffer;
+  static thread_local std::array<char, kReadBufferBytes> buffer;
   const ssize_t got = ::recv(fd_, buffer.data(), buffer.size(), MSG_DONTWAIT);
   if (got > 0) {
     if (closing_) {
@@ -196,13 +199,13 @@
 
 size_t TcpSocket::unacknowledged() const {
   int held = 0;
-  // Where the system does not say, what it holds counts as acknowledged.
+  // If the system cannot report its queue, the queue is taken to be empty.
   if (fd_ < 0 || ::ioctl(fd_, SIOCOUTQ, &held) != 0) held = 0;
   return unsent() + static_cast<size_t>(held);
 }
 
 void TcpSocket::PauseReading(bool paused) {
-  if (reads_ && fd_ >= 0) reads_->setEnabled(!paused);
+  if (read_notifier_ && fd_ >= 0) read_notifier_->setEnabled(!paused);
 }
 
 void TcpSocket::End(SocketEnd end) {
@@ -218,8 +221,9 @@
 void TcpSocket::CloseAfterFlush() {
   if (fd_ < 0 || closing_) return;
   closing_ = true;
-  // Its owner may go before the last bytes do. The callbacks stay until the
-  // socket is deleted: one of them may be what called us.
+  // The owner may be destroyed before the last bytes are sent. The callbacks
+  // are kept until the socket is deleted, as this call may come from one of
+  // them.
   setParent(nullptr);
   if (unsent() == 0) return FinishClose();
   utils::DecisionLog("close_waits").Add("unsent", unsent());
@@ -227,8 +231,8 @@
 }
 
 void TcpSocket::WaitForFlush() {
-  // Guard: an answer that its caller reads slowly is not cut by a close while
-  // some of it is taken.
+  // Guard: a response that the peer reads slowly must not be truncated. The
+  // socket is closed only if no bytes were sent during the timeout.
   QTimer::singleShot(kUserTimeoutMs, this, [this, before = unsent()] {
     if (unsent() == 0) return;
     if (unsent() < before) return WaitForFlush();
@@ -238,11 +242,12 @@
 }
 
 void TcpSocket::FinishClose() {
-  // Guard: closing a socket that holds unread bytes resets it, and the peer
-  // may then lose the answer just written. The write side closes first; the
-  // rest follows when the peer has closed too, or after kCloseWait.
+  // Guard: closing a socket with unread bytes resets the connection, and the
+  // peer may then lose the response just written. The write side is shut down
+  // first; the socket is closed when the peer has closed or after
+  // kCloseTimeout.
   if (fd_ >= 0) ::shutdown(fd_, SHUT_WR);
-  QTimer::singleShot(kCloseWait, this, [this] { CloseNow(); });
+  QTimer::singleShot(kCloseTimeout, this, [this] { CloseNow(); });
 }
 
 void TcpSocket::CloseNow() {
@@ -261,10 +266,10 @@
 }
 
 void TcpSocket::CloseFd() {
-  if (reads_) reads_->setEnabled(false);
-  if (writes_) writes_->setEnabled(false);
-  if (reads_) reads_.release()->deleteLater();
-  if (writes_) writes_.release()->deleteLater();
+  if (read_notifier_) read_notifier_->setEnabled(false);
+  if (write_notifier_) write_notifier_->setEnabled(false);
+  if (read_notifier_) read_notifier_.release()->deleteLater();
+  if (write_notifier_) write_notifier_.release()->deleteLater();
   if (fd_ >= 0) ::close(fd_);
   fd_ = -1;
 }
--- a/libs/http/test/message_parser_test.cc
+++ b/libs/http/test/message_parser_test.cc
@@ -13,15 +13,15 @@
 constexpr size_t kHeaderLimit = 1024;
 constexpr size_t kBodyLimit = 4096;
 
-struct Answer {
+struct ReceivedResponse {
   int status = 0;
   std::string body;
 };
 
-ResponseParser ParserInto(Answer& answer) {
+ResponseParser MakeParser(ReceivedResponse& response) {
   return ResponseParser(
-      {.on_head = [&](ResponseHead&& head) { answer.status = head.status; },
-       .on_body = [&](std::string_view b) { answer.body.append(b); }});
+      {.on_head = [&](ResponseHead&& head) { response.status = head.status; },
+       .on_body = [&](std::string_view b) { response.body.append(b); }});
 }
 
 ParseStatus FeedRequest(std::string_view bytes) {
@@ -31,26 +31,26 @@
 
 }  // namespace
 
-TEST_CASE("an answer with a length is read whole") {
-  Answer answer;
-  ResponseParser parser = ParserInto(answer);
+TEST_CASE("a response with a length is parsed to its end") {
+  ReceivedResponse response;
+  ResponseParser parser = MakeParser(response);
   const std::string bytes =
       "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhellorest";
   const auto outcome = parser.Feed(bytes);
   REQUIRE(outcome.status == ParseStatus::kDone);
   REQUIRE(outcome.consumed == bytes.size() - 4);
-  REQUIRE(answer.status == 200);
-  REQUIRE(answer.body == "hello");
+  REQUIRE(response.status == 200);
+  REQUIRE(response.body == "hello");
   REQUIRE(parser.keep_alive());
 }
 
-TEST_CASE("an answer is read the same however it is cut into pieces") {
+TEST_CASE("a response is parsed alike in segments of any size") {
   const std::string bytes =
       "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
       "5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n";
   for (size_t step = 1; step < bytes.size(); ++step) {
-    Answer answer;
-    ResponseParser parser = ParserInto(answer);
+    ReceivedResponse response;
+    ResponseParser parser = MakeParser(response);
     std::string pending;
     ParseStatus last = ParseStatus::kNeedMore;
     for (size_t at = 0; at < bytes.size(); at += step) {
@@ -60,40 +60,41 @@
       last = outcome.status;
     }
     REQUIRE(last == ParseStatus::kDone);
-    REQUIRE(answer.body == "hello world");
+    REQUIRE(response.body == "hello world");
   }
 }
 
-// Story: an upstream answers without a length and ends the body with its
-// connection. Only an orderly close completes it; the caller of FeedEnd must
-// not call it after a reset.
-TEST_CASE("an answer without a length is complete only at the end") {
-  Answer answer;
-  ResponseParser parser = ParserInto(answer);
+// An upstream sends a response without a length and ends the body by closing
+// the connection. Only an orderly close completes the response; FeedEnd must
+// not be called after a reset, or a truncated body would count as complete.
+TEST_CASE("a response without a length is completed by an orderly close") {
+  ReceivedResponse response;
+  ResponseParser parser = MakeParser(response);
   REQUIRE(parser.Feed("HTTP/1.1 200 OK\r\n\r\npart").status ==
           ParseStatus::kNeedMore);
   REQUIRE(parser.FeedEnd());
-  REQUIRE(answer.body == "part");
+  REQUIRE(response.body == "part");
 }
 
-TEST_CASE("an answer cut inside its length never counts as complete") {
-  Answer answer;
-  ResponseParser parser = ParserInto(answer);
+TEST_CASE("a response shorter than its length is never complete") {
+  ReceivedResponse response;
+  ResponseParser parser = MakeParser(response);
   parser.Feed("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\npart");
   REQUIRE_FALSE(parser.FeedEnd());
 }
 
-TEST_CASE("bytes that are no answer are malformed") {
-  Answer answer;
-  ResponseParser parser = ParserInto(answer);
+TEST_CASE("bytes that are not an HTTP response are malformed") {
+  ReceivedResponse response;
+  ResponseParser parser = MakeParser(response);
   REQUIRE(parser.Feed("\x01\x02garbage\r\n\r\n").status ==
           ParseStatus::kMalformed);
 }
 
-// Story: a client sends a request whose framing can be read in two ways, so
-// that a second request hides in its body. The proxy reads one, the upstream
-// two, and the hidden one runs with nobody's key. The parser refuses it.
-TEST_CASE("contradicting framing is refused") {
+// Request smuggling: a client sends a request with contradictory framing, so
+// that its body can be read as a second request. If the proxy read one request
+// and the upstream two, the second would run without a key. The parser must
+// refuse it.
+TEST_CASE("contradictory framing is refused") {
   REQUIRE(FeedRequest("POST /a/ HTTP/1.1\r\nHost: h\r\nContent-Length: 4\r\n"
                       "Transfer-Encoding: chunked\r\n\r\n0\r\n\r\n") ==
           ParseStatus::kMalformed);
@@ -107,7 +108,7 @@
           ParseStatus::kMalformed);
 }
 
-TEST_CASE("limits of head and body are kept") {
+TEST_CASE("limits of head and body are enforced") {
   const std::string head = "GET /a/ HTTP/1.1\r\nHost: h\r\nX: ";
   REQUIRE(FeedRequest(head + std::string(2 * kHeaderLimit, 'x') + "\r\n\r\n") ==
           ParseStatus::kHeaderTooLarge);
@@ -115,7 +116,7 @@
                       "5000\r\n\r\n") == ParseStatus::kBodyTooLarge);
 }
 
-TEST_CASE("a request is read whole, the next one left") {
+TEST_CASE("a request is parsed without the bytes of the next one") {
   RequestParser parser(kHeaderLimit, kBodyLimit);
   const std::string first =
       "POST /a/b?q=1 HTTP/1.1\r\nHost: h\r\nContent-Length: 3\r\n\r\nabc";
@@ -127,11 +128,11 @@
   REQUIRE(parser.message().body == "abc");
 }
 
-// Story: a caller sends HEAD. The answer states a length and has no body; an
-// instance that waits for one answers only at the route's timeout.
-TEST_CASE("the answer to HEAD ends with its head") {
-  Answer answer;
-  ResponseParser parser = ParserInto(answer);
+// The response to a HEAD request states a length but has no body. An instance
+// that waited for a body would respond only after the route's timeout.
+TEST_CASE("the response to a HEAD request ends with its head") {
+  ReceivedResponse response;
+  ResponseParser parser = MakeParser(response);
   parser.ExpectNoBody();
   REQUIRE(parser.Feed("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\n").status ==
           ParseStatus::kDone);
--- a/libs/http/test/sse_test.cc
+++ b/libs/http/test/sse_test.cc
@@ -7,9 +7,9 @@
 using turmeric::http::SseEvent;
 using turmeric::http::SseParser;
 
-TEST_CASE("SSE events split at any byte boundary come out whole") {
-  // A stream from an engine arrives in TCP segments cut anywhere; a token
-  // must never be lost or glued to its neighbour.
+TEST_CASE("SSE events split at any byte boundary are reassembled") {
+  // A stream from an engine is received in TCP segments that end anywhere. No
+  // token must be lost or merged with the next one.
   rc::prop("any split", [](std::vector<uint8_t> cuts) {
     QByteArray stream;
     for (int i = 0; i < 20; ++i) {
--- a/libs/standins/src/platform_standin.cc
+++ b/libs/standins/src/platform_standin.cc
@@ -208,7 +208,7 @@
       watch->replay +
       Line({{"bookmark", static_cast<double>(store_->revision())}}));
   watch->replay.clear();
-  watch->responder->OnGone([this, watch] {
+  watch->responder->OnDisconnected([this, watch] {
     store_->CancelWatch(watch->id);
     std::erase(watches_, watch);
   });
--- a/tools/turmericctl/config_command.cc
+++ b/tools/turmericctl/config_command.cc
@@ -35,7 +35,7 @@
   return f.readAll();
 }
 
-int Print(const http::HttpAnswer& a) {
+int Print(const http::HttpResponse& a) {
   if (!a.error.isEmpty()) {
     std::cerr << "error: " << a.error.toStdString() << "\n";
     return 1;
@@ -82,7 +82,8 @@
           QByteArray::number(static_cast<qlonglong>(FLAGS_if_version))}}));
   }
   if (verb == "diff") {
-    const http::HttpAnswer current = http::HttpCall(network, "GET", base + key);
+    const http::HttpResponse current =
+        http::HttpCall(network, "GET", base + key);
     const std::string stored = QJsonDocument::fromJson(current.body)
                                    .object()
                                    .value("value")
@@ -128,7 +129,7 @@
   const QString url =
       QString::fromStdString(target + "/v1/pipelines/" + FLAGS_business + "/" +
                              FLAGS_pipeline + ":run");
-  const http::HttpAnswer a = http::HttpCall(
+  const http::HttpResponse a = http::HttpCall(
       network, "POST", url, QJsonDocument(body).toJson(QJsonDocument::Compact),
       headers);
   Print(a);
--- a/tools/turmericctl/fleet_scenario.cc
+++ b/tools/turmericctl/fleet_scenario.cc
@@ -176,7 +176,7 @@
     cut += static_cast<int>(std::ranges::count_if(
         r.cut_at, [&](int port) { return port != killed_port; }));
   }
-  const http::HttpAnswer health =
+  const http::HttpResponse health =
       http::HttpCall(network, "GET", fleet.urls().back() + "/healthz");
   const int members =
       QJsonDocument::fromJson(health.body).object().value("members").toInt();
--- a/tools/turmericctl/slopes_scenario.cc
+++ b/tools/turmericctl/slopes_scenario.cc
@@ -39,7 +39,7 @@
 };
 
 double InstanceCpu(QNetworkAccessManager& network, const QString& url) {
-  const http::HttpAnswer a = http::HttpCall(network, "GET", url + "/metrics");
+  const http::HttpResponse a = http::HttpCall(network, "GET", url + "/metrics");
   return MetricSum(a.body.toStdString(), "turmeric_process_cpu_seconds");
 }
 
