--- a/libs/config/src/entry_settings.cc
+++ b/libs/config/src/entry_settings.cc
@@ -65,7 +65,9 @@
     bool ok = false;
     const double number = QString::fromStdString(*value).toDouble(&ok);
     if (!ok || number < 0 || number > max) {
-      return SetError(key, *value, "a number that is not negative");
+      return SetError(
+          key, *value,
+          "a number in [0, " + QString::number(max).toStdString() + "]");
     }
     out = number;
   }
--- a/libs/config/src/instance_settings.cc
+++ b/libs/config/src/instance_settings.cc
@@ -30,9 +30,11 @@
                            int max, int fallback) {
   if (!ini.contains(key)) return fallback;
   bool ok = false;
-  const int v = ini.value(key).toString().toInt(&ok);
+  const QString text = ini.value(key).toString();
+  const int v = text.toInt(&ok);
   if (!ok || v < min || v > max) {
-    return Fail(Errc::kIniInvalid, std::string(key) + ": want an integer in [" +
+    return Fail(Errc::kIniInvalid, std::string(key) + "=" + text.toStdString() +
+                                       ": want an integer in [" +
                                        std::to_string(min) + ", " +
                                        std::to_string(max) + "]");
   }
@@ -73,14 +75,15 @@
   static const std::regex kStoreAddress(
       "embedded|[0-9]{1,3}(\\.[0-9]{1,3}){3}:[0-9]{1,5}");
   if (!std::regex_match(s.store, kStoreAddress)) {
-    return Fail(Errc::kIniInvalid, "instance/store: want embedded or ip:port");
+    return Fail(Errc::kIniInvalid,
+                "instance/store=" + s.store + ": want embedded or ip:port");
   }
   static const std::set<std::string> kLevels = {"debug", "info", "warning",
                                                 "error"};
   if (!kLevels.contains(s.log_level)) {
-    return Fail(Errc::kIniInvalid,
-                "instance/log_level: want debug, info, "
-                "warning or error");
+    return Fail(Errc::kIniInvalid, "instance/log_level=" + s.log_level +
+                                       ": want debug, info, "
+                                       "warning or error");
   }
   if (s.name.empty() || s.zone.empty()) {
     return Fail(Errc::kIniInvalid,
--- a/libs/config/src/settings_layer.cc
+++ b/libs/config/src/settings_layer.cc
@@ -103,7 +103,8 @@
     }
     if (!IsValidValue(*rule, value)) {
       return Fail(Errc::kConfigInvalid, "line " + std::to_string(line_number) +
-                                            ": bad value for " + key);
+                                            ": bad value for " + key + ": " +
+                                            value);
     }
     layer.entries.emplace_back(std::move(key), std::move(value));
   }
