--- a/libs/entry/src/upstream_probe.cc
+++ b/libs/entry/src/upstream_probe.cc
@@ -37,7 +37,7 @@
        .on_bytes = {},
        .on_end =
            [this, start](http::SocketEnd) {
-             Complete(start, pending_.at(start).socket->refused());
+             Complete(start, pending_.at(start).socket->connection_refused());
            },
        .on_drained = {}});
 }
--- a/libs/gateway/src/run_handler.cc
+++ b/libs/gateway/src/run_handler.cc
@@ -127,7 +127,7 @@
   exchange->responder.emplace(std::move(responder));
   // Closes the connection after the answer: a kept connection could carry a new
   // request just as the process exits.
-  if (admission_.draining()) exchange->responder->CloseAfterwards();
+  if (admission_.draining()) exchange->responder->CloseAfterResponse();
   if (!ready()) {
     // Guard: before the settings are read no pipeline is known, and "unknown
     // pipeline" would reject a valid request permanently.
@@ -243,7 +243,7 @@
         OnRunDone(exchange, answer);
       });
   exchange->runner = runner;
-  exchange->responder->OnGone([runner = QPointer<PipelineRun>(runner)] {
+  exchange->responder->OnDisconnected([runner = QPointer<PipelineRun>(runner)] {
     if (runner) runner->Cancel();
   });
   runner->Start();
