--- a/tools/turmericgated/main.cc
+++ b/tools/turmericgated/main.cc
@@ -54,8 +54,9 @@
       "turmericgated [--config=FILE] [--store=ip:port|embedded] [--port=N]");
   gflags::ParseCommandLineFlags(&argc, &argv, true);
   QCoreApplication app(argc, argv);
-  const std::string settings_file =
-      FLAGS_config.empty() ? turmeric::platform::SettingsFile() : FLAGS_config;
+  const std::string settings_file = FLAGS_config.empty()
+                                        ? turmeric::platform::SettingsFilePath()
+                                        : FLAGS_config;
   if (turmeric::config::HasEntrySettings(settings_file)) {
     return turmeric::daemon::RunEntry(app, settings_file);
   }
