--- a/libs/gateway/include/turmeric/gateway/drain_step.h
+++ b/libs/gateway/include/turmeric/gateway/drain_step.h
@@ -23,8 +23,9 @@
 };
 
 /**
- * Reserves the last part of the drain timeout for final answers: an answer
- * written only when the timeout expires would be lost with the process.
+ * Decides the next action of a planned stop. The last part of the drain timeout
+ * is reserved for final answers: an answer written only when the timeout
+ * expires would be lost with the process.
  * @param status current state of the stop.
  * @return the next action.
  */
--- a/libs/gateway/include/turmeric/gateway/gateway_service.h
+++ b/libs/gateway/include/turmeric/gateway/gateway_service.h
@@ -77,7 +77,8 @@
   config::InstanceSettings settings_;
   http::RouterServer server_;
   StoreService* store_ = nullptr;
-  MembershipService* membership_ = nullptr;  ///< Null if not registered.
+  /** Null if the kernel has no service "membership". */
+  MembershipService* membership_ = nullptr;
   std::unique_ptr<RunHandler> run_handler_;
   std::unique_ptr<ConfigHandler> config_handler_;
   /**
--- a/libs/gateway/include/turmeric/gateway/pipeline_run.h
+++ b/libs/gateway/include/turmeric/gateway/pipeline_run.h
@@ -108,8 +108,8 @@
    */
   void Cancel();
   /**
-   * Ends the run because the process is about to exit; the answer states as
-   * much as is certain about what ran.
+   * Ends the run because the process is about to exit. The answer states
+   * whether the request ran, as far as this is certain.
    */
   void Abort();
 
--- a/libs/gateway/src/claim_table.cc
+++ b/libs/gateway/src/claim_table.cc
@@ -132,9 +132,10 @@
     return true;
   }
   auto got = store_.Get(p.claim.subject.key);
-  if (!got) return got.error().code == Errc::kStoreNotFound;  // swept
-  // If the answer was lost, the write was applied if the record is done. A
-  // record with another token is no longer owned by this attempt.
+  // kStoreNotFound: the claim was swept.
+  if (!got) return got.error().code == Errc::kStoreNotFound;
+  // If the answer was lost, a record in phase kDone shows that the write was
+  // applied. A record with another token is no longer owned by this attempt.
   const ClaimRecord record = DecodeClaim(got.value().value);
   return record.token != p.claim.token || record.phase == ClaimPhase::kDone;
 }
--- a/libs/gateway/src/gateway_service.cc
+++ b/libs/gateway/src/gateway_service.cc
@@ -25,8 +25,8 @@
 constexpr std::chrono::milliseconds kClaimRetryInterval{1000};
 constexpr std::chrono::milliseconds kDrainPollInterval{20};
 /**
- * Time after the listening socket is closed for requests on connections
- * accepted just before to arrive and be refused: one round trip within the
+ * Time between closing the listening socket and the exit, in which requests on
+ * just accepted connections arrive and are refused: one round trip within the
  * region.
  */
 constexpr std::chrono::milliseconds kLastRefusalTime{100};
@@ -35,8 +35,9 @@
  */
 constexpr std::chrono::seconds kSweepInterval{60};
 /**
- * Interval at which one instance at a time lists all claims and deletes those
- * that other instances left. A listing reads megabytes.
+ * Interval at which one instance at a time lists all claims and deletes the
+ * expired ones, including claims of instances that no longer exist. A listing
+ * reads megabytes.
  */
 constexpr std::chrono::hours kSweepAllInterval{6};
 /** Maximum number of claims deleted per sweep; 10/s with kSweepInterval. */
@@ -138,9 +139,9 @@
 }
 
 void GatewayService::WatchInstanceList() {
-  // The instance list lags the upstream's own state; the other signal is a
-  // refusal with x-leaving by the upstream. The earlier of both stops new
-  // calls.
+  // The instance list lags the upstream's own state. New calls to a leaving
+  // upstream stop at its entry in the list or at its refusal with x-leaving,
+  // whichever is earlier.
   instance_list_ = std::make_unique<store::ResumableWatch>(
       store_->store(), std::string(kInstanceListPrefix),
       [this](const store::StoredObject& entry) {
--- a/libs/gateway/src/membership_service.cc
+++ b/libs/gateway/src/membership_service.cc
@@ -25,11 +25,14 @@
 
 constexpr std::string_view kRosterPrefix = "instances/";
 constexpr std::chrono::milliseconds kTickInterval{100};
-/** Interval until the roster entry is written and the roster is read. */
+/** Interval between attempts to write the roster entry and read the roster,
+ * until both have succeeded. */
 constexpr std::chrono::milliseconds kRosterRetryInterval{2000};
 /**
- * Interval afterwards; it grows with the roster, because listing 1,100 entries
- * every minute alone would take half of a node's control traffic.
+ * Least interval between reads of the roster once this instance has written its
+ * entry. The interval grows with the roster (kRosterIntervalPerEntry): listing
+ * 1,100 entries every minute would by itself take half of the control traffic
+ * of a node.
  */
 constexpr std::chrono::milliseconds kRosterInterval{60000};
 constexpr std::chrono::milliseconds kRosterIntervalPerEntry{500};
--- a/libs/gateway/src/pipeline_run.cc
+++ b/libs/gateway/src/pipeline_run.cc
@@ -231,7 +231,8 @@
   }
   if (outcome.report.result == CallResult::kOk) {
     OnStageOk(*call, outcome);
-  } else if (calls_.empty()) {  // otherwise the other call may still succeed
+  } else if (calls_.empty()) {
+    // While another call is in flight, the stage may still succeed.
     OnStageFailed(*call, outcome);
   }
 }
--- a/libs/gateway/src/stage_call.cc
+++ b/libs/gateway/src/stage_call.cc
@@ -161,7 +161,7 @@
     ReadStream();
     outcome.tokens = tokens_;
     if (foreign_call_id_) return CallResult::kMisdelivered;
-    // Guard: a stream that ends early must not be taken for a complete answer.
+    // Guard: a stream that ends early must not be treated as a complete answer.
     if (stream_gap_ || !stream_done_) {
       outcome.error = stream_gap_ ? "stream skipped a token"
                                   : "stream ended without its end event";
--- a/libs/gateway/test/drain_end_test.cc
+++ b/libs/gateway/test/drain_end_test.cc
@@ -1,5 +1,5 @@
-// Answers to requests that are in flight when a planned stop reaches its drain
-// timeout.
+// Tests the answers to requests that are in flight when a planned stop reaches
+// its drain timeout.
 #include <QSemaphore>
 #include <QTcpSocket>
 #include <catch2/catch.hpp>
--- a/libs/gateway/test/upstream_pool_test.cc
+++ b/libs/gateway/test/upstream_pool_test.cc
@@ -36,7 +36,8 @@
 
 TEST_CASE("a leaving upstream never gets new calls") {
   // Guards against calls to a leaving upstream, whose streams are cut when it
-  // stops. Holds also if every other member is ejected.
+  // stops. A leaving upstream must not be selected even if every other member
+  // is ejected.
   rc::prop("never picked once leaving",
            [](uint8_t n, uint8_t k, uint8_t policy, bool others_fail) {
              const int size = n % 8 + 2;
--- a/libs/membership/include/turmeric/membership/membership.h
+++ b/libs/membership/include/turmeric/membership/membership.h
@@ -39,7 +39,7 @@
  * SWIM-style membership of entry instances. Each instance probes one other
  * instance per period, requests indirect probes from a few others before it
  * suspects the target, and disseminates updates on the messages of the probes.
- * A state machine without sockets or a clock of its own, so that it runs
+ * The class is a state machine without sockets or a clock, so that it runs
  * deterministically in tests. Not thread-safe.
  * After Das, Gupta and Motivala, "SWIM: Scalable Weakly-consistent
  * Infection-style Process Group Membership Protocol" (DSN 2002).
--- a/libs/membership/src/membership.cc
+++ b/libs/membership/src/membership.cc
@@ -208,7 +208,8 @@
     if (!IsLive(entry.member)) dead.push_back(&entry.member);
   }
   if (dead.empty()) return;
-  // A member that is alive receives its own state as dead and refutes it.
+  // The ping carries the recorded state of the member (leaving or dead), so
+  // that a running member can refute it.
   const Member& member = *dead[rng_() % dead.size()];
   out.push_back(Compose(static_cast<uint8_t>(MessageKind::kPing), ++sequence_,
                         roster_.find(member.name)->second.address, nullptr,
@@ -258,8 +259,8 @@
   switch (message->kind) {
     case MessageKind::kPing: {
       // If this instance has a newer state of the sender than the message, the
-      // acknowledgement carries it, so that the sender can refute it or, after
-      // a restart with a lower incarnation, raise its incarnation.
+      // acknowledgement carries that state, so that the sender can refute it
+      // or, after a restart with a lower incarnation, raise its incarnation.
       auto it = members_.find(message->from.name);
       const bool has_newer =
           it != members_.end() && Supersedes(it->second.member, message->from);
--- a/libs/membership/test/membership_test.cc
+++ b/libs/membership/test/membership_test.cc
@@ -64,9 +64,9 @@
 }
 
 TEST_CASE("a restarted instance is counted even if its clock went back") {
-  // Instances use the current time as their first incarnation. The new
-  // process's clock is behind the old one's, so its updates look old to all
-  // peers until it raises its incarnation.
+  // Instances use the current time as their first incarnation. The clock of the
+  // new process is behind the clock of the old process, so all peers treat
+  // updates of the new process as old until it raises its incarnation.
   FakeNetwork net = Fleet(6);
   net.nodes.erase(4);
   net.Run(15000);
@@ -97,9 +97,9 @@
 }
 
 TEST_CASE("the fleet agrees on its members after any faults") {
-  // Random kills, restarts (with clocks ahead or behind), pauses, partitions
-  // and datagram losses. Once they end, every instance must count exactly the
-  // running instances.
+  // Injects random kills, restarts (with clocks ahead or behind), pauses,
+  // partitions and datagram losses. Once these faults end, every instance must
+  // count exactly the running instances.
   rc::prop("converges", [](std::vector<uint8_t> script, uint8_t seed) {
     constexpr int kSize = 6;
     FakeNetwork net(seed + 1u);
--- a/libs/quarantine/include/turmeric/quarantine/crash_ledger.h
+++ b/libs/quarantine/include/turmeric/quarantine/crash_ledger.h
@@ -14,26 +14,28 @@
 namespace turmeric::quarantine {
 
 /**
- * Records, by request fingerprint, the upstreams that crashed while they had
- * the request, as seen by any instance of the fleet. If several crashed and no
- * upstream of their service has completed the request since, the request is
- * taken for the cause and quarantined: its copies are refused. A request that
- * only ran beside the cause is cleared by its next complete run.
+ * Records, by request fingerprint, the upstreams that crashed while the request
+ * was in flight to them, as reported by any instance of the fleet. If several
+ * upstreams crashed and no upstream of their service has completed the request
+ * since, the ledger treats the request as the cause and quarantines it:
+ * requests with the same fingerprint are refused. A harmless request that was
+ * in flight to the same upstreams is cleared by its next complete run.
  *
  * Records can be merged from other ledgers in any order and repeatedly, with
  * the same result. The current time is passed in.
  */
 class CrashLedger {
  public:
-  /** @param crash seen by this instance or received from another one.
-   * @return true if it is new and not older than the last complete run. */
+  /** @param crash observed by this instance or received from another one.
+   * @return true if it is new and counts, see CrashesOf. */
   bool Record(const Crash& crash);
-  /** @param run seen by this instance or received from another one.
-   * @return true if it clears the request of a crash. */
+  /** @param run observed by this instance or received from another one.
+   * @return true if recorded crashes of the request no longer count because of
+   * this run. */
   bool Record(const GoodRun& run);
 
-  /** @param fingerprint of a request. @return number of crashes that it has not
-   * been cleared of. */
+  /** @param fingerprint of a request. @return number of its crashes that count,
+   * see CrashesOf. */
   int crash_count(std::string_view fingerprint) const;
   /** @param fingerprint of a request. @return true if one upstream crashed at
    * the start of its run, or two after progress. Suspect requests run on
@@ -47,10 +49,10 @@
   std::optional<std::chrono::milliseconds> RemainingQuarantine(
       std::string_view fingerprint, Clock::time_point now) const;
 
-  /** @return all crashes that their requests have not been cleared of. */
+  /** @return all crashes that count, of any request; see CrashesOf. */
   std::vector<Crash> AllCrashes() const;
-  /** @param fingerprint of a request. @return the crashes that it has not been
-   * cleared of. */
+  /** @param fingerprint of a request. @return its crashes that count: those
+   * after its last complete run at the same service. */
   std::vector<Crash> CrashesOf(std::string_view fingerprint) const;
   /** @param now current time. @return number of quarantined requests. */
   size_t quarantined_count(Clock::time_point now) const;
--- a/libs/quarantine/src/crash_ledger.cc
+++ b/libs/quarantine/src/crash_ledger.cc
@@ -18,9 +18,9 @@
  * start of its run. */
 constexpr int kQuarantineWeight = 3 * kEarlyCrashWeight;
 /** Upstreams that crash within this window may have lost power together,
- * whereas copies of a request that crashes them do so at different times. The
- * short quarantine lasts until the upstreams have restarted; the next copy then
- * shows whether the request is the cause. */
+ * whereas crashes caused by copies of one request occur at different times.
+ * The short quarantine lasts until the upstreams have restarted; the next copy
+ * of the request then shows whether it is the cause. */
 constexpr milliseconds kOutageWindow{100};
 constexpr milliseconds kOutageQuarantine{3000};
 /** Weight from which a request is suspect. */
@@ -30,10 +30,11 @@
  * fault has been fixed, and crashes few upstreams if not. */
 constexpr milliseconds kFirstQuarantine = std::chrono::minutes(10);
 constexpr milliseconds kMaxQuarantine = std::chrono::hours(24);
-/** Time for which crashes are kept after the last crash under the same request,
- * or after the end of its quarantine. */
+/** Time for which the crashes of a request are kept: counted from the end of
+ * its quarantine, or from the last crash if the request is not quarantined. */
 constexpr milliseconds kCrashRetention = std::chrono::minutes(10);
-/** Beyond this number of requests, those with the oldest crash are evicted. */
+/** Largest number of requests with recorded crashes. Beyond it, the request
+ * whose last crash is the oldest is evicted. */
 constexpr size_t kMaxRequests = 4096;
 /** Crashes kept per request; more would only lengthen its quarantine. */
 constexpr size_t kMaxCrashesPerRequest = 32;
--- a/libs/quarantine/test/crash_ledger_test.cc
+++ b/libs/quarantine/test/crash_ledger_test.cc
@@ -48,7 +48,7 @@
   REQUIRE_FALSE(ledger.RemainingQuarantine("other", kStart));
 }
 
-// Guards against counting a crash once for each instance that sees it.
+// Guards against counting a crash once for each instance that detects it.
 TEST_CASE("one crash of an upstream counts once") {
   CrashLedger ledger = LedgerOf(2);
   REQUIRE_FALSE(ledger.Record(CrashOf("i-1", kStart + 1s)));
@@ -77,21 +77,22 @@
   REQUIRE(ledger.RemainingQuarantine("w", kStart + 1s));
 }
 
-// Guards against refusing requests that only ran beside the cause.
+// Guards against refusing harmless requests that were in flight to the same
+// upstreams as the cause of the crashes.
 TEST_CASE("a good run clears earlier crashes") {
   CrashLedger ledger = LedgerOf(2);
   REQUIRE(ledger.Record(GoodRun{"w", "llm", kStart + 1s}));
   REQUIRE_FALSE(ledger.Record(GoodRun{"w", "llm", kStart + 2s}));
   REQUIRE(ledger.crash_count("w") == 0);
-  // A crash before the good run that is received late changes nothing.
+  // A crash from before the good run changes nothing if it is received later.
   REQUIRE_FALSE(ledger.Record(CrashOf("i-9", kStart + 500ms)));
   REQUIRE_FALSE(ledger.RemainingQuarantine("w", kStart + 2s));
   REQUIRE(ledger.Record(CrashOf("i-10", kStart + 3s)));
   REQUIRE(ledger.crash_count("w") == 1);
 }
 
-// Guards against complete stage runs that clear a request which crashes
-// engines.
+// Guards against clearing a request that crashes engines because its stages run
+// completely.
 TEST_CASE("a good run at another service clears no crash") {
   CrashLedger ledger = LedgerOf(3);
   REQUIRE_FALSE(ledger.Record(GoodRun{"w", "portal", kStart + 1s}));
--- a/libs/routing/include/turmeric/routing/choice.h
+++ b/libs/routing/include/turmeric/routing/choice.h
@@ -33,8 +33,8 @@
   bool has_prompt = false;
   /** Preferred availability zone; empty: none. */
   std::string_view zone;
-  /** Cost of serving from another zone, as the waiting time in ms that equals
-   * it. */
+  /** Cost of serving from another zone, given as the waiting time of equal
+   * cost, ms. */
   double zone_cost_ms = 0;
   /** The prompt parts that engines hold, if this instance places the requests
    * of all instances; null: assumed by rendezvous hashing. */
@@ -59,11 +59,11 @@
                            const ChoiceRequest& request, Clock::time_point now);
 
 /**
- * Chooses an upstream for a request during which other upstreams have crashed.
- * Every request that ran on a crashed upstream is a suspect, and they all
- * prefer the same upstreams: chosen by load or prompt, a harmless request would
- * run next to the cause of the crash again. Choosing by the request's
- * fingerprint alone spreads the suspects over different upstreams.
+ * Chooses an upstream for a suspect: a request that was running on an upstream
+ * when the upstream crashed. If suspects were placed by load or prompt, they
+ * would prefer the same upstreams, and a harmless request would run next to the
+ * cause of the crash again. Choosing by the fingerprint alone spreads the
+ * suspects over different upstreams.
  * @param upstreams of the service. @param work fingerprint of the request.
  * @param tried ids of excluded upstreams. @param now current time.
  * @param admits see UpstreamFilter.
--- a/libs/routing/include/turmeric/routing/cold_limit.h
+++ b/libs/routing/include/turmeric/routing/cold_limit.h
@@ -28,8 +28,8 @@
   /** Places the requests of all instances, and has done so for longer than the
    * window of RecentSends. */
   kOwner,
-  /** Has become the owner within that window: sends of an earlier owner may
-   * still count. */
+  /** Has become the owner within the window of RecentSends: sends of an
+   * earlier owner may still count against the bound. */
   kNewOwner,
   /** Sends without the owner's decision, for example because the owner is
    * unreachable. */
--- a/libs/routing/include/turmeric/routing/evacuated_zones.h
+++ b/libs/routing/include/turmeric/routing/evacuated_zones.h
@@ -25,7 +25,7 @@
   std::set<std::string, std::less<>> Zones(Clock::time_point now) const;
 
  private:
-  /** End time of each evacuation by zone; `max()` while it is in force. */
+  /** When each zone may be used again; `max()` until End() sets the time. */
   std::map<std::string, Clock::time_point, std::less<>> ends_;
 };
 
--- a/libs/routing/include/turmeric/routing/fleet_size.h
+++ b/libs/routing/include/turmeric/routing/fleet_size.h
@@ -21,8 +21,9 @@
  * The instance list is read seldom and may be stale, and an instance can be
  * disconnected from the store while others join. An instance takes its part of
  * a bound only within kListValidity after it has read the list, and only after
- * it has been in the list for longer than that. Each instance that takes a part
- * has therefore read a list with all other instances that do.
+ * it has been in the list for kJoinVisibleAfter (for kListSettleTime if the
+ * whole fleet starts for the first time). Each instance that takes a part has
+ * therefore read a list that contains all other instances that take a part.
  */
 class FleetSize {
  public:
@@ -51,7 +52,8 @@
   /** @param now current time. @return instances to divide by; nullopt: this
    * instance may not take a part. */
   std::optional<int> Divisor(Clock::time_point now) const;
-  /** @return instances in the last list; 0: no list was read. */
+  /** @return instances in the last list; 0 if no list was read; 1 if this
+   * instance is marked as the only one. */
   int listed() const;
   /** @param now current time. @return instances in the largest of the lists
    * read within kListValidity before the last read; nullopt: the list may not
--- a/libs/routing/include/turmeric/routing/retry_allowance.h
+++ b/libs/routing/include/turmeric/routing/retry_allowance.h
@@ -20,11 +20,12 @@
  * A credit bucket that starts empty. Each request of this instance adds a part
  * of the ratio. The bucket holds at most this instance's share of the slack,
  * plus the rest of the ratio for its requests of the last window. The credit
- * spent in a window is therefore at most the content of the buckets at its
- * begin, which earlier requests and the slack account for, plus the credit
- * added by the requests of the window. This stays within the fleet's bound even
- * if instances restart, are disconnected or take over the traffic of others. An
- * instance does not need the amount that an earlier process of it has spent.
+ * spent in a window is therefore at most the content of the buckets at the
+ * start of the window, which earlier requests and the slack account for, plus
+ * the credit added by the requests of the window. This stays within the fleet's
+ * bound even if instances restart, are disconnected or receive the traffic of
+ * others. An instance does not need to know how much credit its earlier
+ * processes spent.
  */
 class RetryAllowance {
  public:
--- a/libs/routing/include/turmeric/routing/route_table.h
+++ b/libs/routing/include/turmeric/routing/route_table.h
@@ -90,7 +90,8 @@
   std::optional<int> priority;  ///< Overrides the route's priority if set.
 };
 
-/** Limits on the size and duration of what a caller sends. */
+/** Limits on the size of a caller's requests, and timeouts of its connection.
+ */
 struct CallerLimits {
   size_t max_header_bytes = 16 * 1024;
   size_t max_body_bytes = 4 * 1024 * 1024;
--- a/libs/routing/include/turmeric/routing/upstream.h
+++ b/libs/routing/include/turmeric/routing/upstream.h
@@ -42,21 +42,23 @@
   Clock::time_point expires_at = Clock::time_point::max();
 
   Clock::time_point cold_until;  ///< End of its cold phase, as far as known.
-  /** Requests that this instance sent, or other instances sent as this one had
-   * placed them. */
+  /** Recent requests to the upstream that this instance sent, or that other
+   * instances sent because this instance had placed them. */
   RecentSends sends;
   int in_flight = 0;  ///< Requests of this instance that are in flight to it.
-  double pending_prompt_ms = 0;  ///< Prompt reading of those, ms.
+  /** Time to read the prompts of the requests in flight, ms. */
+  double pending_prompt_ms = 0;
   /** Requests of all instances placed on it by this instance, if this instance
    * owns the placements; see PlacementTracker. */
   int placed = 0;
-  double placed_prompt_ms = 0;  ///< Prompt reading of the placed requests, ms.
-  double latency_ms = 0;        ///< Moving average to the first byte.
+  /** Time to read the prompts of the placed requests, ms. */
+  double placed_prompt_ms = 0;
+  double latency_ms = 0;    ///< Moving average to the first byte.
   int reported_load = 0;    ///< Running and waiting requests, last reported.
   int failures = 0;         ///< Consecutive failed requests.
   double failure_rate = 0;  ///< Moving average, 0 to 1.
   Clock::time_point ejected_until;  ///< Avoided until then, after failures.
-  Clock::time_point full_until;     ///< Avoided until then: it was full.
+  Clock::time_point full_until;     ///< Avoided until then, after it was full.
   int connections = 0;              ///< Connections of this instance to it.
 };
 
--- a/libs/routing/include/turmeric/routing/upstream_table.h
+++ b/libs/routing/include/turmeric/routing/upstream_table.h
@@ -60,8 +60,8 @@
                   std::optional<Clock::time_point> copy_until = std::nullopt);
   /**
    * Sets the evacuated zones.
-   * @param zones whose upstreams, present and future, receive no new work; the
-   *     upstreams of all other zones may be used.
+   * @param zones zones whose upstreams, present and future, receive no new
+   *     work; the upstreams of all other zones may be used.
    */
   void SetEvacuated(std::set<std::string, std::less<>> zones);
   /** @return the evacuated zones. */
@@ -70,8 +70,9 @@
   }
   /** @param zone an availability zone. @return its upstreams. */
   std::vector<UpstreamPtr> InZone(std::string_view zone) const;
-  /** Drops expired upstreams, and adds those of unconfirmed entries that still
-   * exist at their time. @param now current time. */
+  /** Drops expired upstreams, and adds the upstreams of unconfirmed entries
+   * that still exist at the time given to PutFromCopy. @param now current
+   * time. */
   void Expire(Clock::time_point now);
   /** @param service its name. @return its upstreams, draining ones too. */
   std::span<const UpstreamPtr> ForService(const std::string& service) const;
--- a/libs/routing/src/choice.cc
+++ b/libs/routing/src/choice.cc
@@ -9,7 +9,7 @@
 namespace {
 
 /** Cost of reading a part that an engine does not hold, relative to the time
- * that it takes: the engine's other requests wait for it too. */
+ * that it takes: the engine's other requests wait meanwhile. */
 constexpr double kUncachedReadFactor = 2.0;
 /** Preference for the home engine of a session that is not in the prompt
  * memory, as a factor on the time to read its parts: a new owner then sends
@@ -19,8 +19,9 @@
  * of the service's upstreams if that is more. Enough for a burst of its
  * requests, few enough that not every engine reads every part. */
 constexpr size_t kMinGroupSize = 6;
-/** Waiting time that each open request adds for a new one on an engine, ms: the
- * duration of the engine's step grows a little with each. */
+/** Waiting time in ms that each open request on an engine adds for a new
+ * request: the duration of the engine's step grows a little with each open
+ * request. */
 constexpr double kWaitPerRequestMs = 2.0;
 
 /** FNV-1a with a finaliser that spreads similar keys. */
--- a/libs/routing/src/upstream_table.cc
+++ b/libs/routing/src/upstream_table.cc
@@ -38,7 +38,8 @@
     return Add(entry);
   }
   const bool leaves = entry.draining && !upstream->entry.draining;
-  // Guard: a store restored from an older copy may list it as not yet draining.
+  // Guard: a store restored from an older copy may list a draining upstream as
+  // not yet draining.
   upstream->entry.draining = upstream->entry.draining || entry.draining;
   upstream->entry.slots = entry.slots;
   upstream->entry.cold_left = entry.cold_left;
@@ -83,8 +84,8 @@
   std::set<std::string_view> listed;
   for (const UpstreamEntry& entry : entries) {
     listed.insert(entry.id);
-    // That an unconfirmed entry is listed does not mean that it was written
-    // again.
+    // The presence of an unconfirmed entry in the list does not show that the
+    // entry was written again.
     if (unconfirmed_.contains(entry.id)) continue;
     copy_until ? PutFromCopy(entry, *copy_until) : Put(entry);
   }
--- a/libs/routing/test/upstream_table_test.cc
+++ b/libs/routing/test/upstream_table_test.cc
@@ -125,7 +125,7 @@
   table.Put(EntryOfStart("a", 0, true));
   REQUIRE(IsListed(*table.Find("a"), kNow));
   REQUIRE(table.Find("a")->entry.started_unix_ms == 2000);
-  // The same applies to a full list.
+  // An entry of an earlier start is also ignored in a full list.
   table.ReplaceAll(std::vector<UpstreamEntry>{EntryOfStart("a", 1000)}, kNow);
   table.Expire(kNow);
   REQUIRE(table.Find("a")->entry.started_unix_ms == 2000);
@@ -139,8 +139,8 @@
   REQUIRE(IsListed(*table.Find("a"), kNow));
 }
 
-// Guards against work for a draining upstream that a store restored from an
-// older copy lists as not yet draining.
+// Guards against new work for a draining upstream: a store that was restored
+// from an older copy can list the upstream as not yet draining.
 TEST_CASE("a draining upstream stays draining") {
   UpstreamTable table;
   table.Put(Entry("i-1", true));
--- a/libs/stages/include/turmeric/stages/call_plan.h
+++ b/libs/stages/include/turmeric/stages/call_plan.h
@@ -38,9 +38,10 @@
 bool IsBackedUp(double calls_waiting);
 
 /**
- * @param limits of a stage service. @param before pieces ahead in the queue.
- * @param upstreams that serve them.
- * @return least time in which a piece behind those can be completed.
+ * @param limits of a stage service. @param before number of pieces ahead in the
+ *     queue. @param upstreams number of upstreams that serve the queue.
+ * @return least time in which the piece behind the `before` pieces can be
+ *     completed.
  */
 std::chrono::milliseconds MinCompletionTime(
     const routing::StageCallLimits& limits, size_t before, size_t upstreams);
--- a/libs/stages/include/turmeric/stages/late_piece_rate.h
+++ b/libs/stages/include/turmeric/stages/late_piece_rate.h
@@ -9,9 +9,10 @@
 
 /**
  * Measures the rate at which calls take late pieces from a queue, that is,
- * pieces served only after all that can still be in time. Under sustained
- * overload hardly any late pieces are served; with the rate, they can be
- * refused at once instead of at their deadline. The caller passes in the time.
+ * pieces served only after all pieces that can still be in time. Under
+ * sustained overload hardly any late pieces are served; the rate makes it
+ * possible to refuse them at once instead of at their deadline. The caller
+ * passes in the time.
  */
 class LatePieceRate {
  public:
--- a/libs/stages/include/turmeric/stages/piece.h
+++ b/libs/stages/include/turmeric/stages/piece.h
@@ -14,15 +14,15 @@
 struct Piece {
   std::string request_id;
   int stage = 0;
-  int index = 0;                    ///< Within the stage, from 0.
-  std::string key;                  ///< Its input, if it needs no results.
+  int index = 0;    ///< Within the stage, from 0.
+  std::string key;  ///< The request's piece key; set if `inputs` is empty.
   std::vector<std::string> inputs;  ///< Handles of the results it needs.
   int64_t result_bytes = 0;         ///< Approximate size of its result.
   int rank = 0;                     ///< Urgency class; 0 is served first.
   Clock::time_point due;       ///< End time needed to meet the latency target.
   Clock::time_point deadline;  ///< The result is of no use after this.
-  /** Preferred availability zone, where the fewest bytes cross zones; empty: no
-   * preference. */
+  /** Preferred availability zone: running the piece there transfers the fewest
+   * bytes between zones. Empty: no preference. */
   std::string zone;
   /** Services of the stages that follow, for which its result must be kept. */
   std::vector<std::string> next_services;
--- a/libs/stages/include/turmeric/stages/piece_queue.h
+++ b/libs/stages/include/turmeric/stages/piece_queue.h
@@ -34,7 +34,7 @@
 
 /** A piece's position in the order of a queue; smaller is served first. */
 struct Urgency {
-  bool late = false;  ///< It can no longer meet its latency target.
+  bool late = false;  ///< The piece can no longer meet its latency target.
   /** When the piece is due, or its deadline if late, plus an offset by rank. */
   Clock::time_point at;
   // The linter reports the 0 in the generated comparison as a null pointer.
@@ -56,7 +56,7 @@
 
 /** How a queue orders its pieces. */
 struct QueueRules {
-  bool late_last = true;  ///< Late pieces come after all that can be in time.
+  bool late_last = true;  ///< Late pieces come after all other pieces.
   bool by_zone = true;    ///< Pieces prefer upstreams of their zone.
   /** Returns the number of upstreams that have crashed while they ran the
    * request with this fingerprint; an empty function counts as 0. */
--- a/libs/stages/src/engine_times.cc
+++ b/libs/stages/src/engine_times.cc
@@ -14,9 +14,9 @@
 constexpr double kInitialExcessMs = 200;
 /** Weight of a new request in mean and deviation. */
 constexpr double kSampleWeight = 0.1;
-/** Deviations added to the mean: half as many as in TCP's retransmission timer,
- * as an estimate that is too short costs one request, one that is too long
- * costs all. */
+/** Number of deviations added to the mean, half as many as in TCP's
+ * retransmission timer: an estimate that is too short makes one request late,
+ * whereas one that is too long makes all requests count as late sooner. */
 constexpr double kDeviations = 2;
 
 }  // namespace
--- a/libs/stages/src/late_piece_rate.cc
+++ b/libs/stages/src/late_piece_rate.cc
@@ -15,7 +15,8 @@
 /** Longest gap between two updates in which late pieces count as waiting
  * throughout; a queue with pieces is checked several times as often. */
 constexpr milliseconds kMaxUpdateGap{250};
-/** Time until a piece that is never taken: later than any deadline. */
+/** Time added for a piece that no call is expected to take: later than any
+ * deadline. */
 constexpr std::chrono::hours kNever{1};
 
 double InWindows(Clock::duration time) {
--- a/libs/stages/src/piece_queue.cc
+++ b/libs/stages/src/piece_queue.cc
@@ -58,9 +58,11 @@
   }
 
  private:
-  std::optional<std::string> suspect_;  ///< The one request with crashes.
-  bool has_others_ = false;  ///< Has pieces of requests without crashes.
-  bool isolated_ = false;    ///< No other request may be added.
+  /** Fingerprint of the call's only request with crashes. */
+  std::optional<std::string> suspect_;
+  /** True if the call has pieces of requests without crashes. */
+  bool has_others_ = false;
+  bool isolated_ = false;  ///< No other request may be added.
 };
 
 /** @return true if a service that follows the piece has enough backlog. */
--- a/libs/stages/src/shard.cc
+++ b/libs/stages/src/shard.cc
@@ -27,14 +27,14 @@
  * places a few hundred requests per second, which takes some per cent of the
  * smallest processor share in use. */
 constexpr double kEnginesPerCell = 64;
-/** Excess of calls waiting per upstream in the preferred zone, compared with
- * another zone, up to which all requests stay: about the waiting time that
- * equals the cost of transferring a result to another zone. */
+/** Number of calls waiting per upstream by which the preferred zone's backlog
+ * may exceed another zone's before any request moves there. Waiting for that
+ * many calls costs about as much as transferring a result to another zone. */
 constexpr double kMaxExtraCalls = 1.0;
-/** Further excess at which half of the requests go to the zone with the smaller
- * backlog. Backlog reports are up to half a second old, and all instances act
- * on them: if all requests moved at once, load would oscillate between zones.
- */
+/** Excess beyond kMaxExtraCalls at which half of the requests go to the zone
+ * with the smaller backlog. Backlog reports are up to half a second old, and
+ * all instances act on them: if all requests moved at once, load would
+ * oscillate between zones. */
 constexpr double kHalfMoveCalls = 1.0;
 constexpr char kSeparator = '|';
 
--- a/libs/store/include/turmeric/store/duty_lease.h
+++ b/libs/store/include/turmeric/store/duty_lease.h
@@ -33,7 +33,8 @@
    * Acquires or renews the lease.
    * @param now_unix_ms current time by this instance's clock.
    * @return the fencing number; kStoreConflict while another process holds the
-   *     lease, or the store's error.
+   *     lease, and for one lease duration after its end because clocks differ;
+   *     or the store's error.
    */
   utils::Result<int64_t> AcquireOrRenew(int64_t now_unix_ms);
   /** @param now_unix_ms current time. @return true while this process holds
--- a/libs/store/include/turmeric/store/memory_store.h
+++ b/libs/store/include/turmeric/store/memory_store.h
@@ -16,7 +16,7 @@
   uint64_t seed = 1;              ///< Seed of the random losses.
 };
 
-/** Calls that the platform would bill, counted the way it counts them. */
+/** Calls that the platform would bill, counted as the platform counts them. */
 struct StoreCallCounts {
   int64_t reads = 0;    ///< Get and List.
   int64_t writes = 0;   ///< Put and Delete, also if rejected.
--- a/libs/store/include/turmeric/store/reflector.h
+++ b/libs/store/include/turmeric/store/reflector.h
@@ -48,7 +48,8 @@
   }
   /**
    * Sets a reflector of the same store that probes it during an outage. While
-   * neither of the two reaches the store, this one makes no calls of its own.
+   * neither the leader nor this reflector reaches the store, this reflector
+   * makes no calls.
    * @param leader the probing reflector; must outlive this object.
    */
   void set_probe_leader(const Reflector& leader) { probe_leader_ = &leader; }
@@ -114,8 +115,9 @@
   const Reflector* probe_leader_ = nullptr;
   ReflectorEvents events_;
   std::function<std::chrono::milliseconds()> watch_wait_;
-  QTimer next_call_;   ///< Timer of the delay before the next call.
-  QTimer peer_timer_;  ///< Time for a peer's change to arrive here.
+  QTimer next_call_;  ///< Timer of the delay before the next call.
+  /** Runs while a change reported by a peer may still arrive. */
+  QTimer peer_timer_;
   bool list_next_ = true;
   bool passive_ = false;
   bool slow_retry_ = false;
@@ -128,13 +130,14 @@
   /** Consecutive watches that ended early without changes. */
   int early_watch_count_ = 0;
   int64_t revision_ = 0;
-  int64_t peer_change_ = 0;  ///< Newest change that peers have received.
+  /** Revision of the newest change that peers have received. */
+  int64_t peer_change_ = 0;
   bool call_in_flight_ = false;
   bool watch_in_flight_ = false;  ///< The call in flight is a watch.
   uint64_t watch_sequence_ = 0;  ///< Of the open watch; older ones are ignored.
   std::chrono::milliseconds requested_wait_{0};  ///< Of the last watch.
   std::chrono::steady_clock::time_point call_started_at_;
-  /** Of the last call for CatchUp or for a lost watch. */
+  /** When the last call for CatchUp or for a lost watch was made. */
   std::chrono::steady_clock::time_point last_extra_call_at_;
   std::chrono::steady_clock::time_point last_contact_at_;
   std::chrono::steady_clock::time_point last_answer_at_;
--- a/libs/store/src/details/remote_store_io.h
+++ b/libs/store/src/details/remote_store_io.h
@@ -66,8 +66,8 @@
 
   RemoteStoreOptions options_;
   QNetworkAccessManager* call_network_;
-  /** Separate from `calls_`: open watches would occupy the connections that
-   * calls need. */
+  /** Separate from `call_network_`: open watches would occupy the connections
+   * that calls need. */
   QNetworkAccessManager* watch_network_;
   std::map<int64_t, std::unique_ptr<OpenWatch>> watches_;
   std::set<QNetworkReply*> open_calls_;
--- a/libs/store/src/duty_lease.cc
+++ b/libs/store/src/duty_lease.cc
@@ -52,8 +52,9 @@
   }
   if (record.holder != holder_) {
     // Guard: the clocks of instances differ, so a lease that has expired by
-    // this instance's clock may still be valid by its holder's. Waiting for
-    // one more lease duration is safe as long as the clocks differ by less.
+    // this instance's clock may still be valid by the clock of its holder.
+    // Waiting for one more lease duration is safe as long as the clocks differ
+    // by less than that duration.
     if (got && now_unix_ms < record.until_unix_ms + lease_ms_) {
       return utils::Fail(Errc::kStoreConflict, "held by " + record.holder);
     }
--- a/libs/store/src/kind_replica.cc
+++ b/libs/store/src/kind_replica.cc
@@ -66,7 +66,7 @@
   for (const auto& [name, entry] : entries_) {
     if (listed.contains(name)) continue;
     // A follower that has already read a list of the new era has the object at
-    // a position of that era, and would ignore a deletion at an older one.
+    // a position of that era, and would ignore a deletion at an older position.
     const Position position = later_era ? list.revision : entry.position;
     changes.objects.push_back(
         {.name = name, .spec = {}, .revision = position, .deleted = true});
--- a/libs/store/src/reflector.cc
+++ b/libs/store/src/reflector.cc
@@ -50,7 +50,8 @@
 constexpr milliseconds kInitialUnproductiveDelay{100};
 constexpr int kMaxUnproductiveDoublings = 6;
 
-/** @param count consecutive unproductive answers. @return the delay. */
+/** @param count consecutive unproductive answers, see
+ * kInitialUnproductiveDelay. @return the delay before the next call. */
 milliseconds DelayAfterUnproductive(int count) {
   if (count < 2) return milliseconds(0);
   return kInitialUnproductiveDelay *
@@ -178,9 +179,9 @@
 }
 
 // Guard: the loss of a long watch is noticed only when the watch should have
-// ended. Long watches are started while messages of peers, which report
-// changes, are received. Once they are not, the open watch must not last longer
-// than a watch that is started now.
+// ended. Long watches are started while peers send messages, because these
+// messages report changes. When the messages stop, a watch that has been open
+// for longer than a watch started now would be is replaced.
 void Reflector::CheckWatchOverdue() {
   if (!watch_in_flight_ || !reachable_ || passive_) return;
   const auto open_for = std::chrono::duration_cast<milliseconds>(
--- a/libs/store/test/duty_lease_test.cc
+++ b/libs/store/test/duty_lease_test.cc
@@ -33,7 +33,7 @@
                            .lose_answer_rate = (step & 0x20) ? 0.5 : 0.0,
                            .seed = step});
           const int instance = step % 3;
-          // Clock ahead by less than a lease duration.
+          // Each instance's clock is ahead by less than a lease duration.
           const int64_t skew = instance * 40;
           if (auto fence = instances[instance].AcquireOrRenew(now + skew)) {
             RC_ASSERT(fence.value() >= last_fence);
--- a/libs/store/test/kind_replica_test.cc
+++ b/libs/store/test/kind_replica_test.cc
@@ -44,8 +44,8 @@
 }
 
 // Guards against requests to an upstream that has left. An instance misses the
-// batch with the removal and receives the next one. If it applied that batch,
-// it would advance past the removal and never learn of it.
+// batch with the removal and receives the next batch. If it applied the next
+// batch, it would advance past the removal, which would never be applied.
 TEST_CASE("a batch whose predecessor is missing changes nothing") {
   KindReplica replica = ReplicaFromList(10, {});
   const auto merged = replica.Merge({12, 14, {Object("b", 13)}});
@@ -60,9 +60,9 @@
 }
 
 // Guards against an upstream that is restored to an older state. Two relays
-// split the same changes into different batches. The batch of the second relay
-// starts earlier and contains an older state of an upstream that has begun to
-// leave since.
+// split the same changes into different batches. The second relay's batch
+// starts earlier and contains a state of the upstream from before it began to
+// leave.
 TEST_CASE("overlapping changes are applied only once") {
   KindReplica replica = ReplicaFromList(10, {Object("a", 4)});
   REQUIRE(replica.Merge({10, 15, {Object("a", 14)}}).changes.size() == 1);
@@ -257,8 +257,8 @@
   REQUIRE(replica.revision() == MakePosition(2, 20));
 }
 
-// Guards against an upstream that stays in use because the relay whose changes
-// lead into the new era never had it.
+// Guards against an upstream that stays in use because it is missing from the
+// state of the relay whose changes lead into the new era.
 TEST_CASE("changes into a later era apply only to the state that they follow") {
   KindReplica replica = ReplicaInEraOne();
   const ChangeBatch from_other{MakePosition(1, 28), MakePosition(2, 20), {}};
