--- a/libs/insight/src/control_report.cc
+++ b/libs/insight/src/control_plane_report.cc
@@ -1,4 +1,4 @@
-#include "turmeric/insight/control_report.h"
+#include "turmeric/insight/control_plane_report.h"
 
 #include <algorithm>
 #include <array>
--- a/libs/insight/test/loss_report_test.cc
+++ b/libs/insight/test/request_outcome_report_test.cc
@@ -1,4 +1,4 @@
-#include "turmeric/insight/loss_report.h"
+#include "turmeric/insight/request_outcome_report.h"
 
 #include <catch2/catch.hpp>
 #include <string>
--- a/tools/turmericctl/explain_command.cc
+++ b/tools/turmericctl/explain_command.cc
@@ -5,9 +5,9 @@
 #include <span>
 #include <string_view>
 
-#include "turmeric/insight/control_report.h"
+#include "turmeric/insight/control_plane_report.h"
 #include "turmeric/insight/crash_report.h"
-#include "turmeric/insight/loss_report.h"
+#include "turmeric/insight/request_outcome_report.h"
 #include "turmeric/utils/result.h"
 
 namespace turmeric::ctl {
