--- a/libs/insight/include/turmeric/insight/control_plane_report.h
+++ b/libs/insight/include/turmeric/insight/control_plane_report.h
@@ -11,27 +11,30 @@
 namespace turmeric::insight {
 
 /**
- * Says from the logs of a fleet when and by which path each instance came to
- * act on each configuration: from the store itself or passed on by which other
- * instance, and what happened to its paths before; when it learned of
- * evacuations, and how often requests waited for upstreams that may be cold.
+ * Summarises the control plane events in the logs of a fleet: when each
+ * instance put each configuration version into force and whether it received
+ * the version from the store or from a peer instance, the changes of its
+ * connections to the store before that, when it applied evacuations, and how
+ * often requests waited because the limit on requests to upstreams that may be
+ * cold was reached.
  */
-class ControlReport {
+class ControlPlaneReport {
  public:
   /** @param event of any instance, in any order. */
   void Add(const LogEvent& event);
-  /** @return a table of the configuration's versions and, for each instance,
-   * what it did about its paths to the store, in the order of time. */
+  /** @return a table of the configuration versions as text and, for each
+   * instance, its control plane events in order of time. */
   std::string Render() const;
 
  private:
-  /** One version over all instances. */
+  /** When and from where all instances received one version. */
   struct Version {
     std::chrono::milliseconds first = std::chrono::milliseconds::max();
     std::chrono::milliseconds last{0};
-    int64_t from_store = 0;
-    int64_t from_others = 0;
+    int64_t from_store = 0;  ///< Instances that read it from the store.
+    int64_t from_peers = 0;  ///< Instances that received it from a peer.
   };
+  /** One event of an instance, formatted for the report. */
   struct Line {
     std::chrono::milliseconds at{0};
     std::string text;
--- a/libs/insight/include/turmeric/insight/crash_report.h
+++ b/libs/insight/include/turmeric/insight/crash_report.h
@@ -10,34 +10,35 @@
 namespace turmeric::insight {
 
 /**
- * Says from the logs of a fleet which work ran on upstreams that broke off, and
- * whether copies of it were ever answered: one that never was, with many
- * upstreams to it, is what ends them.
+ * Lists from the logs of a fleet the request fingerprints (`work` in the log
+ * lines) that were running on upstreams whose connection broke off, and how
+ * many requests of each were answered. A fingerprint under which many upstreams
+ * broke off and which was never answered is likely to crash the upstreams.
  */
 class CrashReport {
  public:
   /** @param event of any instance, in any order. */
   void Add(const LogEvent& event);
-  /** @return a line for each work under which two upstreams or more broke off,
-   * most first. */
+  /** @return a table as text with a line for each fingerprint under which at
+   * least two upstreams broke off, most upstreams first. */
   std::string Render() const;
 
  private:
-  /** All copies of one request. */
-  struct Work {
-    std::set<std::string> upstreams;  ///< Broke off under it.
-    std::set<std::string> instances;  ///< Saw that.
-    int copies = 0;
+  /** All requests with one fingerprint. */
+  struct FingerprintStats {
+    std::set<std::string> upstreams;  ///< Upstreams that broke off.
+    std::set<std::string> instances;  ///< Instances that logged it.
+    int requests = 0;
     int answered = 0;
     int refused = 0;
     std::chrono::milliseconds first = std::chrono::milliseconds::max();
     std::chrono::milliseconds last{0};
   };
 
-  void AddBreak(const LogEvent& event);
-  void AddEnd(const LogEvent& event);
+  void AddBrokenCall(const LogEvent& event);
+  void AddRequestEnd(const LogEvent& event);
 
-  std::map<std::string, Work> works_;
+  std::map<std::string, FingerprintStats> fingerprints_;
 };
 
 }  // namespace turmeric::insight
--- a/libs/insight/include/turmeric/insight/request_outcome_report.h
+++ b/libs/insight/include/turmeric/insight/request_outcome_report.h
@@ -11,47 +11,50 @@
 
 namespace turmeric::insight {
 
-/** What took most of the time of an answer that came late. */
-enum class LateBy {
-  kEarlierAttempts,  ///< The caller had been refused before.
-  kStages,           ///< The stages before the engine.
-  kUpstream,         ///< The engine or service itself.
+/** The phase that took most of the time of a late answer. */
+enum class LatenessCause {
+  kEarlierAttempts,  ///< Attempts of the caller that were refused before.
+  kStages,           ///< The stages that run before the engine call.
+  kUpstream,         ///< The call of the engine or service itself.
 };
 
-/** @param end a request_end whose answer came after its target.
- * @return what took most of its time. */
-LateBy CauseOfLate(const LogEvent& end);
+/** @param end request_end event of a request answered after its latency target.
+ * @return the phase that took most of its time. */
+LatenessCause FindLatenessCause(const LogEvent& end);
 
 /**
- * Says from the logs of a fleet where requests lose their worth: which stage
- * services bind, when, and for each route how many answers were late by what
- * and how many were refused or failed why.
+ * Summarises from the logs of a fleet which stage services are the bottleneck
+ * and when, and for each route how many answers met their latency target, how
+ * many were late and in which phase, and how many requests were refused or
+ * failed, by status and outcome.
  */
-class LossReport {
+class RequestOutcomeReport {
  public:
   /** @param event of any instance, in any order. */
   void Add(const LogEvent& event);
-  /** @return tables as text, one for stage services, one for routes. */
+  /** @return two tables as text: stage services, then routes. */
   std::string Render() const;
 
  private:
-  /** Calls of one service that ended in one span of time. */
-  struct Span {
+  /** Calls of one service that ended in one time window. */
+  struct Window {
     int64_t calls = 0;
     int64_t pieces = 0;
-    int64_t capacity = 0;  ///< Pieces that the calls could have held.
-    int64_t waiting = 0;   ///< Pieces, summed over the calls' ends.
+    int64_t capacity = 0;  ///< Sum of the batch limits, in pieces.
+    int64_t waiting = 0;   ///< Pieces in the queue, summed over calls.
     int64_t busy_ms = 0;
   };
+  /** Calls of one stage service. */
   struct Service {
     std::set<std::string> upstreams;
-    std::map<int64_t, Span> spans;  ///< By number of the span.
+    std::map<int64_t, Window> windows;  ///< By index of the window.
   };
+  /** Requests of one route that ended. */
   struct Route {
     int64_t requests = 0;
-    int64_t in_target = 0;
-    std::map<LateBy, int64_t> late;
-    std::map<std::string, int64_t> lost;  ///< By status and outcome.
+    int64_t within_target = 0;
+    std::map<LatenessCause, int64_t> late;
+    std::map<std::string, int64_t> lost;  ///< Failures by status and outcome.
   };
 
   void AddCall(const LogEvent& event);
--- a/libs/insight/src/control_plane_report.cc
+++ b/libs/insight/src/control_plane_report.cc
@@ -15,17 +15,17 @@
 constexpr std::string_view kConfigInForce = "config_in_force";
 constexpr std::string_view kColdLimitReached = "cold_limit_reached";
 constexpr std::string_view kStoreSource = "store";
-/** Instances whose log does not name them. */
-constexpr std::string_view kUnnamed = "(not named)";
+/** Heading for events from lines without an instance name. */
+constexpr std::string_view kUnnamedInstance = "(not named)";
 
-/** An event that tells something of the paths to the store, and which of its
- * fields say what. */
-struct PathEvent {
+/** Name of an event that the report lists, and the fields to print; empty
+ * entries are unused. */
+struct EventFormat {
   std::string_view name;
   std::array<std::string_view, 4> fields;
 };
 
-constexpr std::array<PathEvent, 15> kPathEvents = {{
+constexpr std::array<EventFormat, 15> kReportedEvents = {{
     {"started", {"zone", "", "", ""}},
     {kConfigInForce, {"version", "before", "revision", "source"}},
     {"store_watched", {"why", "followers", "store_age_ms", ""}},
@@ -43,7 +43,7 @@
     {"evacuations_in_force", {"zones", "zones_before", "upstreams", ""}},
 }};
 
-std::string Clock(milliseconds time_of_day) {
+std::string FormatTimeOfDay(milliseconds time_of_day) {
   const std::chrono::hh_mm_ss parts(time_of_day);
   std::ostringstream out;
   out << std::setfill('0') << std::setw(2) << parts.hours().count() << ':'
@@ -53,9 +53,9 @@
   return out.str();
 }
 
-std::string Describe(const PathEvent& form, const LogEvent& event) {
-  std::string text(form.name);
-  for (const std::string_view field : form.fields) {
+std::string Describe(const EventFormat& format, const LogEvent& event) {
+  std::string text(format.name);
+  for (const std::string_view field : format.fields) {
     if (field.empty()) continue;
     text.append(" ").append(field).append("=").append(event.Text(field));
   }
@@ -64,35 +64,36 @@
 
 }  // namespace
 
-void ControlReport::Add(const LogEvent& event) {
+void ControlPlaneReport::Add(const LogEvent& event) {
   if (event.name == kColdLimitReached) {
     ++cold_waits_[std::string(event.Text("service"))];
   }
-  const auto* const form =
-      std::ranges::find(kPathEvents, event.name, &PathEvent::name);
-  if (form == kPathEvents.end()) return;
+  const auto* const format =
+      std::ranges::find(kReportedEvents, event.name, &EventFormat::name);
+  if (format == kReportedEvents.end()) return;
   if (event.name == kConfigInForce) AddVersion(event);
   const std::string instance =
-      event.instance.empty() ? std::string(kUnnamed) : event.instance;
-  instances_[instance].push_back({event.at, Describe(*form, event)});
+      event.instance.empty() ? std::string(kUnnamedInstance) : event.instance;
+  instances_[instance].push_back({event.at, Describe(*format, event)});
 }
 
-void ControlReport::AddVersion(const LogEvent& event) {
+void ControlPlaneReport::AddVersion(const LogEvent& event) {
   Version& version = versions_[event.Number("version")];
   version.first = std::min(version.first, event.at);
   version.last = std::max(version.last, event.at);
   const bool from_store = event.Text("source") == kStoreSource;
-  ++(from_store ? version.from_store : version.from_others);
+  ++(from_store ? version.from_store : version.from_peers);
 }
 
-std::string ControlReport::Render() const {
+std::string ControlPlaneReport::Render() const {
   std::ostringstream out;
   out << "version  first in force  last in force  from the store  passed on\n";
   for (const auto& [number, version] : versions_) {
     out << std::setw(7) << number << "  " << std::setw(14)
-        << Clock(version.first) << "  " << std::setw(13) << Clock(version.last)
-        << "  " << std::setw(14) << version.from_store << "  " << std::setw(9)
-        << version.from_others << "\n";
+        << FormatTimeOfDay(version.first) << "  " << std::setw(13)
+        << FormatTimeOfDay(version.last) << "  " << std::setw(14)
+        << version.from_store << "  " << std::setw(9) << version.from_peers
+        << "\n";
   }
   for (const auto& [service, waits] : cold_waits_) {
     out << "waits for room at upstreams that may be cold, " << service << ": "
@@ -103,7 +104,7 @@
     std::vector<Line> sorted = lines;
     std::ranges::stable_sort(sorted, {}, &Line::at);
     for (const Line& line : sorted) {
-      out << "  " << Clock(line.at) << "  " << line.text << "\n";
+      out << "  " << FormatTimeOfDay(line.at) << "  " << line.text << "\n";
     }
   }
   return out.str();
--- a/libs/insight/src/log_event.cc
+++ b/libs/insight/src/log_event.cc
@@ -10,15 +10,15 @@
 
 namespace {
 
-constexpr std::string_view kTime = "ts=";
-constexpr std::string_view kEvent = "event";
+constexpr std::string_view kTimestampKey = "ts=";
+constexpr std::string_view kEventKey = "event";
 
-/** Reads "HH:MM:SS.mmm" behind the date of a time stamp. */
+/** Parses the time "HH:MM:SS.mmm" after the "T" of an ISO 8601 timestamp. */
 std::optional<milliseconds> TimeOfDay(std::string_view stamp) {
   const size_t clock = stamp.find('T');
   if (clock == std::string_view::npos) return std::nullopt;
   stamp.remove_prefix(clock + 1);
-  // Position, digits and unit of each part.
+  // Offset, number of digits and unit of each component.
   struct Part {
     size_t at;
     size_t digits;
@@ -67,10 +67,10 @@
 }
 
 std::optional<LogEvent> ParseLogLine(std::string_view line) {
-  const size_t start = line.find(kTime);
+  const size_t start = line.find(kTimestampKey);
   if (start == std::string_view::npos) return std::nullopt;
   std::string instance = LastWord(line.substr(0, start));
-  line.remove_prefix(start + kTime.size());
+  line.remove_prefix(start + kTimestampKey.size());
   const auto at = TimeOfDay(line.substr(0, line.find(' ')));
   if (!at) return std::nullopt;
   LogEvent event{
@@ -85,7 +85,7 @@
     if (end == std::string_view::npos) break;
     line.remove_prefix(end + 1);
   }
-  event.name = event.Text(kEvent);
+  event.name = event.Text(kEventKey);
   if (event.name.empty()) return std::nullopt;
   return event;
 }
--- a/libs/insight/test/control_plane_report_test.cc
+++ b/libs/insight/test/control_plane_report_test.cc
@@ -3,13 +3,14 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-using turmeric::insight::ControlReport;
+using turmeric::insight::ControlPlaneReport;
 using turmeric::insight::ParseLogLine;
 
-// Story: a caller got 404 for a route that others served. On call asks when
-// each instance came to act on the version that has it, and by which path.
-TEST_CASE("the report tells when and how a version came into force") {
-  ControlReport report;
+// Guards against a report that cannot explain a 404 for a route that other
+// instances serve: the operator needs the time at which each instance put the
+// version with the route into force, and the source of that version.
+TEST_CASE("the report shows when and from where a version came into force") {
+  ControlPlaneReport report;
   const auto add = [&](const std::string& line) {
     report.Add(*ParseLogLine(line));
   };
@@ -37,18 +38,18 @@
   REQUIRE(text.find("request_end") == std::string::npos);
 }
 
-TEST_CASE("a log that does not name its instance is read all the same") {
+TEST_CASE("a log line without an instance name is parsed and reported") {
   const auto event =
       ParseLogLine("ts=2026-12-03T01:02:05.250 level=INFO event=started");
   REQUIRE(event);
   REQUIRE(event->instance.empty());
-  ControlReport report;
+  ControlPlaneReport report;
   report.Add(*event);
   REQUIRE(report.Render().find("(not named)") != std::string::npos);
 }
 
-TEST_CASE("the report tells of evacuations and of waits for cold upstreams") {
-  ControlReport report;
+TEST_CASE("the report lists evacuations and counts waits for cold upstreams") {
+  ControlPlaneReport report;
   const auto add = [&](const std::string& line) {
     report.Add(
         *ParseLogLine("  3.1 entry-2 ts=2026-12-03T01:02:05.250 "
--- a/libs/insight/test/crash_report_test.cc
+++ b/libs/insight/test/crash_report_test.cc
@@ -8,15 +8,15 @@
 
 namespace {
 
-std::string Break(const std::string& instance, const std::string& work,
-                  const std::string& upstream, int second) {
+std::string BrokenCallLine(const std::string& instance, const std::string& work,
+                           const std::string& upstream, int second) {
   return instance + " ts=2026-12-03T01:02:0" + std::to_string(second) +
          ".000 level=INFO event=upstream_broke_off work=" + work +
          " upstream=" + upstream;
 }
 
-std::string End(const std::string& work, const std::string& outcome,
-                const std::string& status) {
+std::string RequestEndLine(const std::string& work, const std::string& outcome,
+                           const std::string& status) {
   return "entry-1 ts=2026-12-03T01:02:09.000 level=INFO event=request_end "
          "status=" +
          status + " outcome=" + outcome + " work=" + work;
@@ -24,13 +24,16 @@
 
 }  // namespace
 
-// Guards against copies of one request that cannot be told from others.
-TEST_CASE("the report counts the upstreams that broke off under one work") {
+// Guards against mixing up requests with different fingerprints: a fingerprint
+// that crashes several upstreams must be listed with its own counts only.
+TEST_CASE("the report counts upstreams that broke off per fingerprint") {
   CrashReport report;
-  for (const std::string& line :
-       {Break("entry-1", "aa", "i-1", 1), Break("entry-2", "aa", "i-2", 4),
-        Break("entry-1", "bb", "i-1", 1), End("aa", "answer_cut", "502"),
-        End("aa", "quarantined", "503"), End("bb", "answered", "200")}) {
+  for (const std::string& line : {BrokenCallLine("entry-1", "aa", "i-1", 1),
+                                  BrokenCallLine("entry-2", "aa", "i-2", 4),
+                                  BrokenCallLine("entry-1", "bb", "i-1", 1),
+                                  RequestEndLine("aa", "answer_cut", "502"),
+                                  RequestEndLine("aa", "quarantined", "503"),
+                                  RequestEndLine("bb", "answered", "200")}) {
     report.Add(*ParseLogLine(line));
   }
   const std::string text = report.Render();
--- a/libs/insight/test/request_outcome_report_test.cc
+++ b/libs/insight/test/request_outcome_report_test.cc
@@ -3,11 +3,11 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-using turmeric::insight::CauseOfLate;
-using turmeric::insight::LateBy;
+using turmeric::insight::FindLatenessCause;
+using turmeric::insight::LatenessCause;
 using turmeric::insight::LogEvent;
-using turmeric::insight::LossReport;
 using turmeric::insight::ParseLogLine;
+using turmeric::insight::RequestOutcomeReport;
 
 namespace {
 
@@ -17,20 +17,24 @@
 
 }  // namespace
 
-TEST_CASE("a late answer is put down to what took most of its time") {
-  REQUIRE(CauseOfLate(Event("event=request_end used_ms=0 stages_ms=300 "
-                            "first_ms=1500 ms=1600")) == LateBy::kUpstream);
-  REQUIRE(CauseOfLate(Event("event=request_end used_ms=0 stages_ms=1300 "
-                            "first_ms=1500 ms=1600")) == LateBy::kStages);
-  REQUIRE(CauseOfLate(Event("event=request_end used_ms=1900 stages_ms=300 "
-                            "first_ms=900 ms=950")) ==
-          LateBy::kEarlierAttempts);
-  REQUIRE(CauseOfLate(Event("event=request_end used_ms=0 stages_ms=-1 "
-                            "first_ms=-1 ms=900")) == LateBy::kUpstream);
+TEST_CASE(
+    "a late answer is attributed to the phase that took most of its time") {
+  REQUIRE(FindLatenessCause(Event("event=request_end used_ms=0 stages_ms=300 "
+                                  "first_ms=1500 ms=1600")) ==
+          LatenessCause::kUpstream);
+  REQUIRE(FindLatenessCause(Event("event=request_end used_ms=0 stages_ms=1300 "
+                                  "first_ms=1500 ms=1600")) ==
+          LatenessCause::kStages);
+  REQUIRE(FindLatenessCause(
+              Event("event=request_end used_ms=1900 stages_ms=300 "
+                    "first_ms=900 ms=950")) == LatenessCause::kEarlierAttempts);
+  REQUIRE(FindLatenessCause(Event("event=request_end used_ms=0 stages_ms=-1 "
+                                  "first_ms=-1 ms=900")) ==
+          LatenessCause::kUpstream);
 }
 
-TEST_CASE("the report tells what binds and how requests are lost") {
-  LossReport report;
+TEST_CASE("the report shows service utilisation and request outcomes") {
+  RequestOutcomeReport report;
   report.Add(
       Event("event=stage_call_done service=portal upstream=i-1 pieces=4 "
             "batch=8 waiting=10 ms=1000"));
@@ -60,5 +64,5 @@
 }
 
 TEST_CASE("an empty log gives an empty report") {
-  REQUIRE(LossReport().Render().find("stage services") == 0);
+  REQUIRE(RequestOutcomeReport().Render().find("stage services") == 0);
 }
--- a/tools/turmericctl/explain_command.cc
+++ b/tools/turmericctl/explain_command.cc
@@ -52,12 +52,12 @@
 int RunExplainCommand(const std::vector<std::string>& words) {
   const std::span<const std::string> all(words);
   if (!all.empty() && all.front() == kControl) {
-    return Explain<insight::ControlReport>(all.subspan(1));
+    return Explain<insight::ControlPlaneReport>(all.subspan(1));
   }
   if (!all.empty() && all.front() == kCrashes) {
     return Explain<insight::CrashReport>(all.subspan(1));
   }
-  return Explain<insight::LossReport>(all);
+  return Explain<insight::RequestOutcomeReport>(all);
 }
 
 }  // namespace turmeric::ctl
