--- a/libs/insight/include/turmeric/insight/request_outcome_report.h
+++ b/libs/insight/include/turmeric/insight/request_outcome_report.h
@@ -12,7 +12,7 @@
 namespace turmeric::insight {
 
 /** The phase that took most of the time of a late answer. */
-enum class LatenessCause {
+enum class DelayCause {
   kEarlierAttempts,  ///< Attempts of the caller that were refused before.
   kStages,           ///< The stages that run before the engine call.
   kUpstream,         ///< The call of the engine or service itself.
@@ -20,7 +20,7 @@
 
 /** @param end request_end event of a request answered after its latency target.
  * @return the phase that took most of its time. */
-LatenessCause FindLatenessCause(const LogEvent& end);
+DelayCause FindDelayCause(const LogEvent& end);
 
 /**
  * Summarises from the logs of a fleet which stage services are the bottleneck
@@ -53,7 +53,7 @@
   struct Route {
     int64_t requests = 0;
     int64_t within_target = 0;
-    std::map<LatenessCause, int64_t> late;
+    std::map<DelayCause, int64_t> late;
     std::map<std::string, int64_t> lost;  ///< Failures by status and outcome.
   };
 
--- a/libs/insight/src/request_outcome_report.cc
+++ b/libs/insight/src/request_outcome_report.cc
@@ -32,13 +32,13 @@
                     : static_cast<double>(part) / static_cast<double>(whole);
 }
 
-const char* CauseName(LatenessCause cause) {
+const char* CauseName(DelayCause cause) {
   switch (cause) {
-    case LatenessCause::kEarlierAttempts:
+    case DelayCause::kEarlierAttempts:
       return "earlier attempts";
-    case LatenessCause::kStages:
+    case DelayCause::kStages:
       return "stages";
-    case LatenessCause::kUpstream:
+    case DelayCause::kUpstream:
       return "upstream";
   }
   return "";
@@ -53,13 +53,12 @@
 
 }  // namespace
 
-LatenessCause FindLatenessCause(const LogEvent& end) {
+DelayCause FindDelayCause(const LogEvent& end) {
   const int64_t used = end.Number("used_ms");
   const int64_t stages = std::max<int64_t>(0, end.Number("stages_ms", 0));
   const int64_t upstream = LatencyMs(end) - stages;
-  if (used >= stages && used >= upstream)
-    return LatenessCause::kEarlierAttempts;
-  return stages >= upstream ? LatenessCause::kStages : LatenessCause::kUpstream;
+  if (used >= stages && used >= upstream) return DelayCause::kEarlierAttempts;
+  return stages >= upstream ? DelayCause::kStages : DelayCause::kUpstream;
 }
 
 void RequestOutcomeReport::Add(const LogEvent& event) {
@@ -92,7 +91,7 @@
   if (target == 0 || took <= target) {
     ++route.within_target;
   } else {
-    ++route.late[FindLatenessCause(event)];
+    ++route.late[FindDelayCause(event)];
   }
 }
 
--- a/libs/insight/test/request_outcome_report_test.cc
+++ b/libs/insight/test/request_outcome_report_test.cc
@@ -3,8 +3,8 @@
 #include <catch2/catch.hpp>
 #include <string>
 
-using turmeric::insight::FindLatenessCause;
-using turmeric::insight::LatenessCause;
+using turmeric::insight::DelayCause;
+using turmeric::insight::FindDelayCause;
 using turmeric::insight::LogEvent;
 using turmeric::insight::ParseLogLine;
 using turmeric::insight::RequestOutcomeReport;
@@ -19,18 +19,17 @@
 
 TEST_CASE(
     "a late answer is attributed to the phase that took most of its time") {
-  REQUIRE(FindLatenessCause(Event("event=request_end used_ms=0 stages_ms=300 "
-                                  "first_ms=1500 ms=1600")) ==
-          LatenessCause::kUpstream);
-  REQUIRE(FindLatenessCause(Event("event=request_end used_ms=0 stages_ms=1300 "
-                                  "first_ms=1500 ms=1600")) ==
-          LatenessCause::kStages);
-  REQUIRE(FindLatenessCause(
-              Event("event=request_end used_ms=1900 stages_ms=300 "
-                    "first_ms=900 ms=950")) == LatenessCause::kEarlierAttempts);
-  REQUIRE(FindLatenessCause(Event("event=request_end used_ms=0 stages_ms=-1 "
-                                  "first_ms=-1 ms=900")) ==
-          LatenessCause::kUpstream);
+  REQUIRE(FindDelayCause(Event("event=request_end used_ms=0 stages_ms=300 "
+                               "first_ms=1500 ms=1600")) ==
+          DelayCause::kUpstream);
+  REQUIRE(FindDelayCause(Event("event=request_end used_ms=0 stages_ms=1300 "
+                               "first_ms=1500 ms=1600")) ==
+          DelayCause::kStages);
+  REQUIRE(FindDelayCause(Event("event=request_end used_ms=1900 stages_ms=300 "
+                               "first_ms=900 ms=950")) ==
+          DelayCause::kEarlierAttempts);
+  REQUIRE(FindDelayCause(Event("event=request_end used_ms=0 stages_ms=-1 "
+                               "first_ms=-1 ms=900")) == DelayCause::kUpstream);
 }
 
 TEST_CASE("the report shows service utilisation and request outcomes") {
