--- a/libs/utils/include/turmeric/utils/decision_log.h
+++ b/libs/utils/include/turmeric/utils/decision_log.h
@@ -7,35 +7,36 @@
 namespace turmeric::utils {
 
 /**
- * One structured line for one decision: "event=NAME key=value ...", written
- * when the object goes. At most kMaxLinesPerSecond a second; the rest are
- * counted, and the count is part of the next line, so that a flood neither
- * blocks nor hides itself. Event-loop thread only.
+ * Writes one structured log line for one event, "event=NAME key=value ...",
+ * when the object is destroyed. At most kMaxLinesPerSecond lines are written
+ * per second, so that a burst of events does not block the event loop. Further
+ * lines are dropped and counted; the next line written has the count as
+ * `lines_dropped`. Must be used on the event-loop thread only.
  */
 class DecisionLog {
  public:
-  /** Lines a second beyond which lines are dropped: about ten for each
-   * request that one small instance serves when busy. */
+  /** Lines per second; about ten lines for each request that one small instance
+   * serves per second under load. */
   static constexpr int kMaxLinesPerSecond = 200;
 
-  /** @param event the decision's name, snake_case. */
+  /** @param event name of the event, snake_case. */
   explicit DecisionLog(std::string_view event);
   ~DecisionLog();
   DecisionLog(const DecisionLog&) = delete;
   DecisionLog& operator=(const DecisionLog&) = delete;
 
-  /** @param key a name. @param value its value. @return this. */
+  /** Appends " key=value". @param value any streamable value. @return *this. */
   template <class Value>
   DecisionLog& Add(std::string_view key, const Value& value) {
-    if (on_) line_ << ' ' << key << '=' << value;
+    if (enabled_) line_ << ' ' << key << '=' << value;
     return *this;
   }
 
-  /** @return lines dropped since the process started. */
+  /** @return number of lines dropped since the process started. */
   static int64_t dropped();
 
  private:
-  bool on_;
+  bool enabled_;
   std::ostringstream line_;
 };
 
--- a/libs/utils/include/turmeric/utils/log.h
+++ b/libs/utils/include/turmeric/utils/log.h
@@ -5,9 +5,11 @@
 namespace turmeric::utils {
 
 /**
- * Configures easylogging++ for structured (logfmt) lines on stderr.
- * Lines are written only for changes of state; counters go to /metrics.
- * @param level "debug", "info", "warning" or "error".
+ * Configures easylogging++ to write structured (logfmt) lines to standard
+ * output. Log lines are for changes of state; counters are exported at
+ * /metrics.
+ * @param level lowest level written: "debug", "info", "warning" or "error"; any
+ *     other value enables all levels.
  */
 void ConfigureLogging(std::string_view level);
 
--- a/libs/utils/include/turmeric/utils/random_id.h
+++ b/libs/utils/include/turmeric/utils/random_id.h
@@ -6,9 +6,11 @@
 namespace turmeric::utils {
 
 /**
- * @param digits length.
- * @return that many random lowercase hex digits, unlike those of any other
- *     process or earlier run of this one (seeded from the system).
+ * Generates a random identifier. The generator of each thread is seeded from
+ * the system's random device, so that identifiers of different processes, and
+ * of earlier runs of this process, differ.
+ * @param digits number of digits.
+ * @return lowercase hex digits.
  */
 std::string RandomHex(size_t digits);
 
--- a/libs/utils/include/turmeric/utils/result.h
+++ b/libs/utils/include/turmeric/utils/result.h
@@ -8,19 +8,19 @@
 namespace turmeric::utils {
 
 /**
- * Numbered result codes. The table with meanings and caller advice is
- * docs/ERRORS.md; numbers never change once released.
+ * Numbered result codes. docs/ERRORS.md lists what each code means and what the
+ * caller should do. A released number never changes its meaning.
  */
 enum class Errc : int {
   kOk = 0,
-  // 1xxx: the caller's request is malformed; nothing was run.
+  // 1xxx: the request is malformed; no stage has run.
   kBadRequest = 1001,
   kUnknownPipeline = 1002,
   kUnknownOrganisation = 1003,
   kBadDeadline = 1004,
   kMissingIdempotencyKey = 1005,
   kIdempotencyKeyReused = 1006,
-  // 2xxx: admission and deadlines.
+  // 2xxx: admission control and deadlines.
   kOverloaded = 2001,
   kDeadlineTooShort = 2002,
   kDraining = 2003,
@@ -50,7 +50,7 @@
   kIniInvalid = 6005,
 };
 
-/** An error: a numbered code plus a human-readable detail. */
+/** An error: a numbered code and a human-readable detail. */
 struct Error {
   Errc code = Errc::kOk;
   std::string detail;
@@ -64,7 +64,7 @@
 /**
  * Builds a failed result.
  * @param code the numbered code.
- * @param detail what went wrong, for the operator.
+ * @param detail description of the failure for the operator.
  * @return a failure convertible to any Result<T>.
  */
 inline auto Fail(Errc code, std::string detail) {
@@ -84,19 +84,20 @@
 int HttpStatus(Errc code);
 
 /**
- * When a refused caller should come back: sent as `retry_after_ms` in the
- * body and, rounded up to whole seconds, as `Retry-After`.
+ * Returns the Retry-After delay for a refused request. It is sent as
+ * `retry_after_ms` in the response body and, rounded up to whole seconds, in
+ * the `Retry-After` header.
  * @param code a result code.
- * @return milliseconds to wait (0: at once, to another instance), or -1 if
- *     resending the same request cannot help.
+ * @return delay in milliseconds (0: retry at once at another instance), or -1
+ * if a retry of the same request cannot succeed.
  */
 int RetryAfterMs(Errc code);
 
-/** What a caller is told about whether its request ran. */
+/** Execution state of a request, as reported to its caller. */
 enum class RunState {
-  kRan,      ///< Every stage ran; the answer is whole.
-  kNotRun,   ///< No upstream was called for this request; safe to resend.
-  kFailed,   ///< Only idempotent stages ran; nothing with effects happened.
+  kRan,      ///< Every stage ran; the answer is complete.
+  kNotRun,   ///< No upstream was called for this request; safe to retry.
+  kFailed,   ///< Only idempotent stages ran; there were no side effects.
   kUnknown,  ///< A non-idempotent call may or may not have taken effect.
 };
 
--- a/libs/utils/include/turmeric/utils/trace.h
+++ b/libs/utils/include/turmeric/utils/trace.h
@@ -18,42 +18,42 @@
 /**
  * Parses a `traceparent` header value ("00-<trace>-<span>-<flags>").
  * @param header the header value as received.
- * @return the context, or nothing if the value is malformed.
+ * @return the context, or nullopt if the value is malformed.
  */
 std::optional<TraceContext> ParseTraceparent(std::string_view header);
 
 /**
- * @param context the context to send on.
+ * @param context the context to propagate.
  * @return the `traceparent` header value for it.
  */
 std::string FormatTraceparent(const TraceContext& context);
 
 /**
- * Starts a child context: same trace, fresh span id. With no parent, a new
- * trace is started.
+ * Creates a child context with the trace id of the parent and a new span id.
+ * Without a parent, starts a new sampled trace.
  * @param parent the caller's context, if any.
  * @return the child context.
  */
 TraceContext ChildContext(const std::optional<TraceContext>& parent);
 
-/** One finished span, one hop of a request. */
+/** A finished span: one operation within a trace. */
 struct Span {
   TraceContext context;
   std::string parent_span_id;
   std::string name;      ///< e.g. "stage.generate".
   int64_t start_us = 0;  ///< Unix time, microseconds.
   int64_t duration_us = 0;
-  std::string attributes;  ///< Pre-rendered JSON object body, may be empty.
+  std::string attributes;  ///< JSON members without braces; may be empty.
 };
 
-/** Writes spans as JSON lines to a file; thread-safe. Empty path: off. */
+/** Appends spans to a file as JSON lines. Thread-safe. */
 class SpanSink {
  public:
-  /** @param path file to append to; empty disables export. */
+  /** @param path file to append to; an empty path disables the export. */
   explicit SpanSink(std::string path);
-  /** @param span the span to export. */
+  /** Appends a span to the file. */
   void Export(const Span& span);
-  /** @return spans exported so far. */
+  /** @return number of spans exported so far. */
   int64_t exported() const { return exported_; }
 
  private:
--- a/libs/utils/src/decision_log.cc
+++ b/libs/utils/src/decision_log.cc
@@ -11,7 +11,7 @@
 struct Window {
   std::chrono::steady_clock::time_point start;
   int lines = 0;
-  int64_t dropped_in_window = 0;
+  int64_t dropped_since_last_line = 0;
   int64_t dropped = 0;
 };
 
@@ -29,22 +29,22 @@
 
 DecisionLog::DecisionLog(std::string_view event) {
   Window& window = CurrentWindow();
-  on_ = window.lines < kMaxLinesPerSecond;
-  if (!on_) {
-    ++window.dropped_in_window;
+  enabled_ = window.lines < kMaxLinesPerSecond;
+  if (!enabled_) {
+    ++window.dropped_since_last_line;
     ++window.dropped;
     return;
   }
   ++window.lines;
   line_ << "event=" << event;
-  if (window.dropped_in_window > 0) {
-    line_ << " lines_dropped=" << window.dropped_in_window;
-    window.dropped_in_window = 0;
+  if (window.dropped_since_last_line > 0) {
+    line_ << " lines_dropped=" << window.dropped_since_last_line;
+    window.dropped_since_last_line = 0;
   }
 }
 
 DecisionLog::~DecisionLog() {
-  if (on_) LOG(INFO) << line_.str();
+  if (enabled_) LOG(INFO) << line_.str();
 }
 
 int64_t DecisionLog::dropped() { return CurrentWindow().dropped; }
--- a/libs/utils/src/easylogging.cc
+++ b/libs/utils/src/easylogging.cc
@@ -1,2 +1,2 @@
-// Compiles easylogging++ once for the whole workspace.
+// Compiles easylogging++ once for all libraries and programs.
 #include <easylogging++.cc>  // NOLINT(build/include)
--- a/libs/utils/src/log.cc
+++ b/libs/utils/src/log.cc
@@ -16,20 +16,23 @@
                    "ts=%datetime{%Y-%M-%dT%H:%m:%s.%g} level=%level %msg");
   conf.setGlobally(el::ConfigurationType::ToFile, "false");
   conf.setGlobally(el::ConfigurationType::ToStandardOutput, "true");
-  // easylogging++'s own level order puts Info above Warning, so levels
-  // are switched on one by one in the usual order instead.
-  constexpr std::array<std::pair<el::Level, std::string_view>, 4> kOrder = {{
-      {el::Level::Debug, "debug"},
-      {el::Level::Info, "info"},
-      {el::Level::Warning, "warning"},
-      {el::Level::Error, "error"},
-  }};
-  const auto chosen = std::ranges::find(
-      kOrder, level, &std::pair<el::Level, std::string_view>::second);
-  bool on = chosen == kOrder.end();  // unknown level: everything on
-  for (const auto& [lvl, name] : kOrder) {
-    on = on || name == level;
-    conf.set(lvl, el::ConfigurationType::Enabled, on ? "true" : "false");
+  // The level order of easylogging++ puts Info above Warning, so each level is
+  // enabled separately, in the usual order.
+  constexpr std::array<std::pair<el::Level, std::string_view>, 4>
+      kLevelsAscending = {{
+          {el::Level::Debug, "debug"},
+          {el::Level::Info, "info"},
+          {el::Level::Warning, "warning"},
+          {el::Level::Error, "error"},
+      }};
+  const auto threshold = std::ranges::find(
+      kLevelsAscending, level, &std::pair<el::Level, std::string_view>::second);
+  bool enabled =
+      threshold == kLevelsAscending.end();  // unknown level: enable all
+  for (const auto& [log_level, name] : kLevelsAscending) {
+    enabled = enabled || name == level;
+    conf.set(log_level, el::ConfigurationType::Enabled,
+             enabled ? "true" : "false");
   }
   el::Loggers::reconfigureAllLoggers(conf);
 }
--- a/libs/utils/src/random_id.cc
+++ b/libs/utils/src/random_id.cc
@@ -7,7 +7,7 @@
 
 namespace {
 
-std::mt19937_64 SystemSeeded() {
+std::mt19937_64 MakeSeededGenerator() {
   std::random_device device;
   std::seed_seq seed{device(), device(), device(), device(),
                      device(), device(), device(), device()};
@@ -17,7 +17,7 @@
 }  // namespace
 
 std::string RandomHex(size_t digits) {
-  thread_local std::mt19937_64 rng = SystemSeeded();
+  thread_local std::mt19937_64 rng = MakeSeededGenerator();
   static constexpr char kHex[] = "0123456789abcdef";
   std::string out(digits, '0');
   std::ranges::generate(out, [] { return kHex[rng() & 0xf]; });
--- a/libs/utils/src/result.cc
+++ b/libs/utils/src/result.cc
@@ -103,7 +103,7 @@
 int RetryAfterMs(Errc code) {
   switch (code) {
     case Errc::kDraining:
-      return 0;  // another instance can take it now
+      return 0;  // another instance can accept the request now
     case Errc::kOverloaded:
       return 50;
     case Errc::kStoreUnavailable:
--- a/libs/utils/test/qt_test_main.cc
+++ b/libs/utils/test/qt_test_main.cc
@@ -9,7 +9,7 @@
 INITIALIZE_EASYLOGGINGPP
 
 int main(int argc, char* argv[]) {
-  // Path tests run real Qt servers and clients on loopback in this thread.
+  // The event loop of this thread runs the Qt servers and clients under test.
   QCoreApplication app(argc, argv);
   turmeric::utils::ConfigureLogging("error");
   return Catch::Session().run(argc, argv);
--- a/libs/utils/test/test_main.cc
+++ b/libs/utils/test/test_main.cc
@@ -8,7 +8,7 @@
 INITIALIZE_EASYLOGGINGPP
 
 int main(int argc, char* argv[]) {
-  // Tests run with logging quiet; state-change lines would only clutter CI.
+  // Suppresses lines below level error, which would clutter the test output.
   turmeric::utils::ConfigureLogging("error");
   return Catch::Session().run(argc, argv);
 }
--- a/libs/utils/test/trace_test.cc
+++ b/libs/utils/test/trace_test.cc
@@ -8,20 +8,22 @@
 using turmeric::utils::FormatTraceparent;
 using turmeric::utils::ParseTraceparent;
 
-TEST_CASE("traceparent round-trips and children keep the trace") {
-  rc::prop("format then parse is identity", [](bool has_parent) {
-    auto root = ChildContext(std::nullopt);
-    auto ctx = has_parent ? ChildContext(root) : root;
-    auto parsed = ParseTraceparent(FormatTraceparent(ctx));
-    RC_ASSERT(parsed.has_value());
-    RC_ASSERT(parsed->trace_id == root.trace_id);
-    RC_ASSERT(parsed->span_id == ctx.span_id);
-  });
+TEST_CASE("traceparent round-trips and child contexts keep the trace id") {
+  rc::prop("parsing a formatted context returns the context",
+           [](bool has_parent) {
+             auto root = ChildContext(std::nullopt);
+             auto ctx = has_parent ? ChildContext(root) : root;
+             auto parsed = ParseTraceparent(FormatTraceparent(ctx));
+             RC_ASSERT(parsed.has_value());
+             RC_ASSERT(parsed->trace_id == root.trace_id);
+             RC_ASSERT(parsed->span_id == ctx.span_id);
+           });
 }
 
 TEST_CASE("malformed traceparent headers are refused") {
-  // A caller sends a truncated or upper-case header; we start a new trace
-  // rather than propagate garbage to upstreams.
+  // Guards against propagating an invalid trace context to upstreams: without a
+  // parsed context, a request starts a new trace. The values are truncated,
+  // upper-case and all-zero.
   CHECK_FALSE(ParseTraceparent("00-abc"));
   CHECK_FALSE(ParseTraceparent(
       "00-0AF7651916CD43DD8448EB211C80319C-b7ad6b7169203331-01"));
