--- a/libs/standins/include/turmeric/standins/engine_standin.h
+++ b/libs/standins/include/turmeric/standins/engine_standin.h
@@ -13,46 +13,51 @@
 
 namespace turmeric::standins {
 
-/** How the stand-in engine's latency behaves. */
-struct EngineModel {
-  double prefill_us_per_char = 20;  ///< Prompt cost unless prefix cached.
-  double token_ms = 2.0;            ///< Decode step with an empty batch.
-  int batch_capacity = 16;          ///< Batch size at which steps double.
-  int prefix_cache_entries = 256;   ///< LRU prefixes kept.
-  int load_report_ms = 200;         ///< Lag of the reported queue depth.
+/** Latency model of the stand-in engine. */
+struct EngineLatencyModel {
+  double prefill_us_per_char =
+      20;                   ///< Prefill time if the prefix is not cached.
+  double token_ms = 2.0;    ///< Decode step of an empty batch.
+  int batch_capacity = 16;  ///< Batch size at which a decode step doubles.
+  int prefix_cache_entries = 256;  ///< Capacity of the LRU prefix cache.
+  int load_report_ms = 200;  ///< Update interval of the reported queue depth.
 };
 
 /**
- * A model engine stand-in speaking the OpenAI-style completions API:
- * `POST /v1/completions` with `stream` for SSE, continuous batching (decode
- * slows with batch size), a prefix cache, and load reported with a lag in
- * the `x-queue-depth` header. `POST /admin/faults` sets StandinFaults.
+ * Stand-in for a model engine with an OpenAI-style completions API:
+ * `POST /v1/completions`, with server-sent events if `stream` is set. It
+ * simulates continuous batching (decode steps slow down with the batch size)
+ * and a prefix cache, and reports its queue depth with a delay in the
+ * `x-queue-depth` header. `POST /admin/faults` sets StandinFaults.
  */
 class EngineStandin : public QObject {
  public:
   /** @param model latency model. */
-  explicit EngineStandin(EngineModel model = {});
+  explicit EngineStandin(EngineLatencyModel model = {});
   /**
-   * @param port port on 127.0.0.1; 0 picks one.
+   * @param port port on 127.0.0.1; 0 selects a free port.
    * @return the bound port, or 0 on failure.
    */
   uint16_t Listen(uint16_t port);
-  /** @param faults faults from now on. */
+  /** @param faults faults to inject into all later requests. */
   void SetFaults(const StandinFaults& faults) { faults_ = faults; }
-  /** @return requests answered so far. */
+  /** @return number of completed requests. */
   int64_t served() const { return served_; }
-  /** @return completion calls received, answered or refused. */
+  /** @return number of completion calls received, including refused ones. */
   int64_t received() const { return received_; }
-  /** @return calls refused because this engine was leaving. */
+  /** @return number of calls refused because this engine was leaving. */
   int64_t refused_leaving() const { return refused_leaving_; }
   /** @return the bound port, 0 before Listen. */
   uint16_t port() const { return port_; }
 
  private:
-  void Complete(const QHttpServerRequest& request, http::Responder&& responder);
-  bool PrefixCached(const std::string& prompt);
+  void HandleCompletion(const QHttpServerRequest& request,
+                        http::Responder&& responder);
+  /** Makes the prefix of the prompt the most recently used cache entry.
+   * @return true if the prefix was cached before. */
+  bool TouchPrefix(const std::string& prompt);
 
-  EngineModel model_;
+  EngineLatencyModel model_;
   StandinFaults faults_;
   http::RouterServer server_;
   QTimer load_timer_;
@@ -62,7 +67,7 @@
   uint16_t port_ = 0;
   int64_t refused_leaving_ = 0;
   int64_t received_ = 0;
-  std::list<std::string> prefixes_;
+  std::list<std::string> cached_prefixes_;
   std::mt19937_64 rng_{42};
 };
 
--- a/libs/standins/include/turmeric/standins/platform_standin.h
+++ b/libs/standins/include/turmeric/standins/platform_standin.h
@@ -12,36 +12,41 @@
 
 namespace turmeric::standins {
 
-/** Faults of the platform's store, beside those of MemoryStore. */
+/** Faults of the platform's store, in addition to those of MemoryStore. */
 struct PlatformFaults {
   store::StoreFaults store;
-  int delay_ms = 4;     ///< Time to an answer.
-  bool silent = false;  ///< Takes calls and never answers, watches included.
+  int delay_ms = 4;     ///< Delay of each answer.
+  bool silent = false;  ///< Accepts calls and watches, but sends nothing.
 };
 
 /**
- * The platform's object API as a process of its own would serve it: HTTP
- * over a MemoryStore. GET|PUT|DELETE /v1/objects?key=, GET /v1/list?prefix=,
- * GET /v1/watch?prefix=&after= (JSON lines; a bookmark when the state so far
- * is delivered, then every second), POST /admin/faults, POST /admin/compact,
+ * Stand-in for the platform's object store: serves a MemoryStore over HTTP.
+ * GET|PUT|DELETE /v1/objects?key=, GET /v1/list?prefix=,
+ * GET /v1/watch?prefix=&after= (JSON lines; a bookmark after the current state
+ * has been sent, then one per second), POST /admin/faults, POST /admin/compact,
  * GET /admin/counts.
  */
 class PlatformStandin : public QObject {
  public:
-  /** @param store what it serves. */
+  /** @param store the store to serve. */
   explicit PlatformStandin(std::shared_ptr<store::MemoryStore> store);
   ~PlatformStandin() override;
-  /** @param port port on 127.0.0.1; 0 picks one. @return bound port or 0. */
+  /** @param port port on 127.0.0.1; 0 selects a free port. @return the bound
+   * port, or 0 on failure. */
   uint16_t Listen(uint16_t port);
-  /** @param faults faults from now on. */
+  /** Sets the faults for all later calls. When `silent` is cleared, closes the
+   * unanswered connections and all open watches, because events were dropped.
+   * @param faults new faults. */
   void SetFaults(const PlatformFaults& faults);
 
  private:
   struct OpenWatch;
+
   void AddRoutes();
-  /** Answers after the delay, or never while silent. */
-  void Later(http::Responder&& responder,
-             std::function<void(http::Responder&)> answer);
+  /** Calls `answer` after PlatformFaults::delay_ms; while silent, keeps the
+   * connection open without an answer. */
+  void AnswerDelayed(http::Responder&& responder,
+                     std::function<void(http::Responder&)> answer);
   void Watch(const QHttpServerRequest& request, http::Responder&& responder);
   void SendBookmarks();
 
--- a/libs/standins/include/turmeric/standins/service_standin.h
+++ b/libs/standins/include/turmeric/standins/service_standin.h
@@ -13,35 +13,40 @@
 namespace turmeric::standins {
 
 /**
- * Stand-in for an encoder, retriever, reranker or plain service pool member:
- * `POST /v1/stage` answers after `delay_ms` (times load), echoing the
- * request id. It counts executions per idempotency key so a test can see a
- * non-idempotent call done twice (`GET /admin/stats`).
+ * Stand-in for an encoder, retriever, reranker or other stage service.
+ * `POST /v1/stage` answers with the request id after a delay that grows with
+ * the number of active calls. Counts executions per idempotency key, so that a
+ * test can detect a non-idempotent call that was executed twice (`GET
+ * /admin/stats`).
  */
 class ServiceStandin : public QObject {
  public:
-  /** @param delay_ms base service time. */
+  /** @param delay_ms service time without load. */
   explicit ServiceStandin(double delay_ms);
-  /** @param port port on 127.0.0.1; 0 picks one. @return bound port or 0. */
+  /** @param port port on 127.0.0.1; 0 selects a free port. @return the bound
+   * port, or 0 on failure. */
   uint16_t Listen(uint16_t port);
-  /** @param faults faults from now on. */
+  /** @param faults faults to inject into all later requests. */
   void SetFaults(const StandinFaults& faults) { faults_ = faults; }
-  /** Refuses connections from now on, as a dead process does. */
-  void Die();
-  /** @return keys executed more than once (must stay 0). */
-  int64_t doubled() const { return doubled_; }
-  /** @return requests executed. */
+  /** Simulates a crashed process: stops listening and aborts all connections.
+   */
+  void SimulateCrash();
+  /** @return number of keys executed more than once; any such key violates the
+   * at-most-once guarantee. */
+  int64_t duplicate_executions() const { return duplicate_executions_; }
+  /** @return number of requests executed. */
   int64_t executed() const { return executed_; }
-  /** @param key idempotency key. @return times executed for it. */
+  /** @param key idempotency key. @return number of executions with this key. */
   int executions(const std::string& key) const {
     auto it = executions_.find(key);
     return it == executions_.end() ? 0 : it->second;
   }
-  /** @return calls refused because this upstream was leaving. */
+  /** @return number of calls refused because this upstream was leaving. */
   int64_t refused_leaving() const { return refused_leaving_; }
 
  private:
-  void Serve(const QHttpServerRequest& request, http::Responder&& responder);
+  void HandleStage(const QHttpServerRequest& request,
+                   http::Responder&& responder);
 
   double delay_ms_;
   StandinFaults faults_;
@@ -50,7 +55,7 @@
   int active_ = 0;
   int reported_depth_ = 0;
   int64_t executed_ = 0;
-  int64_t doubled_ = 0;
+  int64_t duplicate_executions_ = 0;
   int64_t refused_leaving_ = 0;
   std::map<std::string, int> executions_;
   std::mt19937_64 rng_{7};
--- a/libs/standins/src/engine_standin.cc
+++ b/libs/standins/src/engine_standin.cc
@@ -23,17 +23,17 @@
 
 }  // namespace
 
-EngineStandin::EngineStandin(EngineModel model) : model_(model) {
+EngineStandin::EngineStandin(EngineLatencyModel model) : model_(model) {
   server_.Route(QHttpServerRequest::Method::Post, "/v1/completions",
                 [this](const QHttpServerRequest& r, http::Responder&& w) {
-                  Complete(r, std::move(w));
+                  HandleCompletion(r, std::move(w));
                 });
   server_.Route(QHttpServerRequest::Method::Post, "/admin/faults",
                 [this](const QHttpServerRequest& r, http::Responder&& w) {
                   faults_ = ParseFaults(r.body());
                   http::WriteJson(w, 200, "{}");
                 });
-  // The reported depth trails the true one, as real engines' load reports do.
+  // Like a real engine, reports a queue depth that lags behind the actual one.
   load_timer_.setInterval(model_.load_report_ms);
   connect(&load_timer_, &QTimer::timeout, this,
           [this] { reported_depth_ = active_; });
@@ -45,21 +45,22 @@
   return port_;
 }
 
-bool EngineStandin::PrefixCached(const std::string& prompt) {
+bool EngineStandin::TouchPrefix(const std::string& prompt) {
   constexpr size_t kPrefixChars = 32;
   const std::string prefix = prompt.substr(0, kPrefixChars);
-  auto it = std::ranges::find(prefixes_, prefix);
-  const bool hit = it != prefixes_.end();
-  if (hit) prefixes_.erase(it);
-  prefixes_.push_front(prefix);
-  if (prefixes_.size() > static_cast<size_t>(model_.prefix_cache_entries)) {
-    prefixes_.pop_back();
+  auto it = std::ranges::find(cached_prefixes_, prefix);
+  const bool hit = it != cached_prefixes_.end();
+  if (hit) cached_prefixes_.erase(it);
+  cached_prefixes_.push_front(prefix);
+  if (cached_prefixes_.size() >
+      static_cast<size_t>(model_.prefix_cache_entries)) {
+    cached_prefixes_.pop_back();
   }
   return hit;
 }
 
-void EngineStandin::Complete(const QHttpServerRequest& request,
-                             http::Responder&& responder) {
+void EngineStandin::HandleCompletion(const QHttpServerRequest& request,
+                                     http::Responder&& responder) {
   const QJsonObject body = QJsonDocument::fromJson(request.body()).object();
   const QByteArray request_id = request.value("x-request-id");
   ++received_;
@@ -76,75 +77,80 @@
     http::WriteJson(responder, 500, R"({"error":"injected"})", headers);
     return;
   }
-  auto c = std::make_shared<Completion>();
-  c->responder.emplace(std::move(responder));
-  c->request_id = request_id;
+  auto completion = std::make_shared<Completion>();
+  completion->responder.emplace(std::move(responder));
+  completion->request_id = request_id;
   const QString prompt = body.value("prompt").toString();
-  c->words = prompt.split(' ', Qt::SkipEmptyParts);
-  c->max_tokens = std::clamp(body.value("max_tokens").toInt(16), 1, 4096);
-  c->stream = body.value("stream").toBool(false);
-  // A resumed stream goes on from the token the client still wants.
-  c->emitted = std::clamp(body.value("resume_from").toInt(0), 0, c->max_tokens);
+  completion->words = prompt.split(' ', Qt::SkipEmptyParts);
+  completion->max_tokens =
+      std::clamp(body.value("max_tokens").toInt(16), 1, 4096);
+  completion->stream = body.value("stream").toBool(false);
+  // A resumed stream continues at the token index requested by the client.
+  completion->emitted =
+      std::clamp(body.value("resume_from").toInt(0), 0, completion->max_tokens);
   ++active_;
-  const bool cached = PrefixCached(prompt.toStdString());
+  const bool cached = TouchPrefix(prompt.toStdString());
   const double prefill_ms =
       cached ? 0.0 : prompt.size() * model_.prefill_us_per_char / 1000.0;
-  if (c->stream) {
-    c->responder->StartStream("text/event-stream", headers);
+  if (completion->stream) {
+    completion->responder->StartStream("text/event-stream", headers);
   }
-  auto step = std::make_shared<std::function<void()>>();
-  *step = [this, c, step] {
-    if (c->stream && c->emitted == faults_.cut_stream_after) {
+  auto emit_token = std::make_shared<std::function<void()>>();
+  *emit_token = [this, completion, emit_token] {
+    if (completion->stream && completion->emitted == faults_.cut_stream_after) {
       --active_;
-      c->responder->Abort();
-      c->responder.reset();
-      *step = nullptr;
+      completion->responder->Abort();
+      completion->responder.reset();
+      *emit_token = nullptr;
       return;
     }
-    if (c->emitted < c->max_tokens) {
-      const QString word = c->words.isEmpty()
-                               ? QString("tok%1").arg(c->emitted)
-                               : c->words[c->emitted % c->words.size()];
-      c->text += (c->emitted ? " " : "") + word;
-      if (c->stream) {
-        QJsonObject ev{{"request_id", QString(c->request_id)},
-                       {"index", c->emitted},
-                       {"text", word}};
-        c->responder->WriteChunk(
-            http::SseEvent(QJsonDocument(ev).toJson(QJsonDocument::Compact)));
+    if (completion->emitted < completion->max_tokens) {
+      const QString word =
+          completion->words.isEmpty()
+              ? QString("tok%1").arg(completion->emitted)
+              : completion
+                    ->words[completion->emitted % completion->words.size()];
+      completion->text += (completion->emitted ? " " : "") + word;
+      if (completion->stream) {
+        QJsonObject event{{"request_id", QString(completion->request_id)},
+                          {"index", completion->emitted},
+                          {"text", word}};
+        completion->responder->WriteChunk(http::SseEvent(
+            QJsonDocument(event).toJson(QJsonDocument::Compact)));
       }
-      ++c->emitted;
+      ++completion->emitted;
       const double batch =
           1.0 + static_cast<double>(active_) / model_.batch_capacity;
       const int delay =
           static_cast<int>(model_.token_ms * batch * faults_.slow_factor + 0.5);
-      QTimer::singleShot(delay, this, *step);
+      QTimer::singleShot(delay, this, *emit_token);
       return;
     }
     --active_;
     ++served_;
-    if (c->stream) {
-      QJsonObject done{{"request_id", QString(c->request_id)},
+    if (completion->stream) {
+      QJsonObject done{{"request_id", QString(completion->request_id)},
                        {"done", true},
-                       {"completion_tokens", c->emitted}};
-      c->responder->WriteChunk(
+                       {"completion_tokens", completion->emitted}};
+      completion->responder->WriteChunk(
           http::SseEvent(QJsonDocument(done).toJson(QJsonDocument::Compact)) +
           http::SseEvent("[DONE]"));
-      c->responder->EndStream();
+      completion->responder->EndStream();
     } else {
-      QJsonObject out{{"request_id", QString(c->request_id)},
-                      {"text", c->text},
-                      {"completion_tokens", c->emitted}};
-      http::WriteJson(*c->responder, 200,
+      QJsonObject out{{"request_id", QString(completion->request_id)},
+                      {"text", completion->text},
+                      {"completion_tokens", completion->emitted}};
+      http::WriteJson(*completion->responder, 200,
                       QJsonDocument(out).toJson(QJsonDocument::Compact),
-                      {{"x-request-id", c->request_id},
+                      {{"x-request-id", completion->request_id},
                        {"x-queue-depth", QByteArray::number(reported_depth_)}});
     }
-    c->responder.reset();
-    *step = nullptr;  // Breaks the self-reference so the state is freed.
+    completion->responder.reset();
+    *emit_token =
+        nullptr;  // Breaks the reference cycle, so that the state is freed.
   };
   QTimer::singleShot(static_cast<int>(prefill_ms * faults_.slow_factor), this,
-                     *step);
+                     *emit_token);
 }
 
 }  // namespace turmeric::standins
--- a/libs/standins/src/platform_standin.cc
+++ b/libs/standins/src/platform_standin.cc
@@ -16,20 +16,21 @@
 
 namespace {
 
-constexpr int kBookmarkEveryMs = 1000;
+constexpr int kBookmarkIntervalMs = 1000;
 constexpr int kStatusOk = 200;
 
-QByteArray Line(const QJsonObject& o) {
+QByteArray JsonLine(const QJsonObject& o) {
   return QJsonDocument(o).toJson(QJsonDocument::Compact) + "\n";
 }
 
-std::string Query(const QHttpServerRequest& request, const char* name) {
+std::string QueryParameter(const QHttpServerRequest& request,
+                           const char* name) {
   return QUrlQuery(request.url())
       .queryItemValue(QString::fromLatin1(name), QUrl::FullyDecoded)
       .toStdString();
 }
 
-int StatusOf(Errc code) {
+int HttpStatusOf(Errc code) {
   switch (code) {
     case Errc::kStoreNotFound:
       return 404;
@@ -45,29 +46,30 @@
 }
 
 void WriteError(http::Responder& responder, const utils::Error& error) {
-  // The write took effect; only its answer goes missing.
+  // Simulates a lost answer: the write has been applied, but the connection is
+  // aborted.
   if (error.code == Errc::kStoreAnswerLost) {
     responder.Abort();
     return;
   }
-  http::WriteJson(responder, StatusOf(error.code), "{}");
+  http::WriteJson(responder, HttpStatusOf(error.code), "{}");
 }
 
 }  // namespace
 
-/** One watch and where its events go. */
+/** An open watch and the connection that receives its events. */
 struct PlatformStandin::OpenWatch {
   std::shared_ptr<http::Responder> responder;
   int64_t id = 0;
   bool started = false;
-  QByteArray replay;  ///< Events before the stream starts.
+  QByteArray replay;  ///< JSON lines buffered before the stream starts.
 };
 
 PlatformStandin::PlatformStandin(std::shared_ptr<store::MemoryStore> store)
     : store_(std::move(store)) {
   AddRoutes();
   connect(&bookmarks_, &QTimer::timeout, this, [this] { SendBookmarks(); });
-  bookmarks_.start(kBookmarkEveryMs);
+  bookmarks_.start(kBookmarkIntervalMs);
 }
 
 PlatformStandin::~PlatformStandin() {
@@ -79,20 +81,21 @@
 }
 
 void PlatformStandin::SetFaults(const PlatformFaults& faults) {
-  const bool ends_silence = faults_.silent && !faults.silent;
+  const bool silence_ended = faults_.silent && !faults.silent;
   faults_ = faults;
   store_->SetFaults(faults.store);
-  if (!ends_silence) return;
-  // Events were swallowed meanwhile; no stream may go on as if whole.
-  unanswered_.clear();  // closes their connections
+  if (!silence_ended) return;
+  // Events were dropped during the silence. Each watch is aborted, so that no
+  // client takes its stream for complete.
+  unanswered_.clear();  // closes the connections
   for (const auto& w : std::exchange(watches_, {})) {
     store_->CancelWatch(w->id);
     w->responder->Abort();
   }
 }
 
-void PlatformStandin::Later(http::Responder&& responder,
-                            std::function<void(http::Responder&)> answer) {
+void PlatformStandin::AnswerDelayed(
+    http::Responder&& responder, std::function<void(http::Responder&)> answer) {
   auto held = std::make_shared<http::Responder>(std::move(responder));
   if (faults_.silent) {
     unanswered_.push_back(std::move(held));
@@ -105,35 +108,38 @@
 void PlatformStandin::AddRoutes() {
   using M = QHttpServerRequest::Method;
   server_.Route(M::Get, "/v1/objects", [this](const auto& r, auto&& w) {
-    Later(std::move(w), [this, key = Query(r, "key")](http::Responder& out) {
-      auto got = store_->Get(key);
-      if (!got) return WriteError(out, got.error());
-      http::WriteJson(out, kStatusOk, Line(store::ObjectToJson(got.value())));
-    });
+    AnswerDelayed(std::move(w),
+                  [this, key = QueryParameter(r, "key")](http::Responder& out) {
+                    auto got = store_->Get(key);
+                    if (!got) return WriteError(out, got.error());
+                    http::WriteJson(out, kStatusOk,
+                                    JsonLine(store::ObjectToJson(got.value())));
+                  });
   });
   server_.Route(M::Put, "/v1/objects", [this](const auto& r, auto&& w) {
     const int64_t expected = r.value(store::kIfVersionHeader).toLongLong();
-    Later(std::move(w), [this, key = Query(r, "key"), expected,
-                         value = r.body().toStdString()](http::Responder& out) {
-      auto put = store_->Put(key, value, expected);
-      if (!put) return WriteError(out, put.error());
-      StoredObject head = put.value();
-      head.value.clear();
-      http::WriteJson(out, kStatusOk, Line(store::ObjectToJson(head)));
-    });
+    AnswerDelayed(
+        std::move(w), [this, key = QueryParameter(r, "key"), expected,
+                       value = r.body().toStdString()](http::Responder& out) {
+          auto put = store_->Put(key, value, expected);
+          if (!put) return WriteError(out, put.error());
+          StoredObject head = put.value();
+          head.value.clear();
+          http::WriteJson(out, kStatusOk, JsonLine(store::ObjectToJson(head)));
+        });
   });
   server_.Route(M::Delete, "/v1/objects", [this](const auto& r, auto&& w) {
     const int64_t expected = r.value(store::kIfVersionHeader).toLongLong();
-    Later(std::move(w),
-          [this, key = Query(r, "key"), expected](http::Responder& out) {
-            auto deleted = store_->Delete(key, expected);
-            if (!deleted) return WriteError(out, deleted.error());
-            http::WriteJson(out, kStatusOk, "{}");
-          });
+    AnswerDelayed(std::move(w), [this, key = QueryParameter(r, "key"),
+                                 expected](http::Responder& out) {
+      auto deleted = store_->Delete(key, expected);
+      if (!deleted) return WriteError(out, deleted.error());
+      http::WriteJson(out, kStatusOk, "{}");
+    });
   });
   server_.Route(M::Get, "/v1/list", [this](const auto& r, auto&& w) {
-    Later(std::move(w), [this,
-                         prefix = Query(r, "prefix")](http::Responder& out) {
+    AnswerDelayed(std::move(w), [this, prefix = QueryParameter(r, "prefix")](
+                                    http::Responder& out) {
       auto list = store_->List(prefix);
       if (!list) return WriteError(out, list.error());
       QJsonArray items;
@@ -142,8 +148,8 @@
       }
       http::WriteJson(
           out, kStatusOk,
-          Line({{"items", items},
-                {"revision", static_cast<double>(list.value().revision)}}));
+          JsonLine({{"items", items},
+                    {"revision", static_cast<double>(list.value().revision)}}));
     });
   });
   server_.Route(M::Get, "/v1/watch",
@@ -166,9 +172,9 @@
   server_.Route(M::Get, "/admin/counts", [this](const auto&, auto&& w) {
     const store::StoreCallCounts c = store_->counts();
     http::WriteJson(w, kStatusOk,
-                    Line({{"reads", static_cast<double>(c.reads)},
-                          {"writes", static_cast<double>(c.writes)},
-                          {"watches", static_cast<double>(c.watches)}}));
+                    JsonLine({{"reads", static_cast<double>(c.reads)},
+                              {"writes", static_cast<double>(c.writes)},
+                              {"watches", static_cast<double>(c.watches)}}));
   });
 }
 
@@ -186,27 +192,29 @@
       std::erase(watches_, watch);
       return;
     }
-    const QByteArray line = Line(store::ObjectToJson(event.value()));
+    const QByteArray line = JsonLine(store::ObjectToJson(event.value()));
     if (!watch->started) {
       watch->replay += line;
     } else if (!faults_.silent) {
       watch->responder->WriteChunk(line);
     }
   };
-  // The store calls back on its writer's thread; the connection is ours.
+  // The store runs the callback on the thread of the writer; the connection
+  // belongs to the thread of this object.
   auto on_event = [this, deliver](const utils::Result<StoredObject>& event) {
     QMetaObject::invokeMethod(this, [deliver, event] { deliver(event); });
   };
   auto id = store_->Watch(
-      Query(request, "prefix"),
-      QString::fromStdString(Query(request, "after")).toLongLong(), on_event);
+      QueryParameter(request, "prefix"),
+      QString::fromStdString(QueryParameter(request, "after")).toLongLong(),
+      on_event);
   if (!id) return WriteError(*watch->responder, id.error());
   watch->id = id.value();
   watch->started = true;
   watch->responder->StartStream("application/x-ndjson");
   watch->responder->WriteChunk(
       watch->replay +
-      Line({{"bookmark", static_cast<double>(store_->revision())}}));
+      JsonLine({{"bookmark", static_cast<double>(store_->revision())}}));
   watch->replay.clear();
   watch->responder->OnGone([this, watch] {
     store_->CancelWatch(watch->id);
@@ -218,7 +226,7 @@
 void PlatformStandin::SendBookmarks() {
   if (faults_.silent) return;
   const QByteArray line =
-      Line({{"bookmark", static_cast<double>(store_->revision())}});
+      JsonLine({{"bookmark", static_cast<double>(store_->revision())}});
   std::ranges::for_each(watches_,
                         [&](const auto& w) { w->responder->WriteChunk(line); });
 }
--- a/libs/standins/src/service_standin.cc
+++ b/libs/standins/src/service_standin.cc
@@ -10,12 +10,13 @@
 ServiceStandin::ServiceStandin(double delay_ms) : delay_ms_(delay_ms) {
   server_.Route(QHttpServerRequest::Method::Post, "/v1/stage",
                 [this](const QHttpServerRequest& r, http::Responder&& w) {
-                  Serve(r, std::move(w));
+                  HandleStage(r, std::move(w));
                 });
   server_.Route(QHttpServerRequest::Method::Get, "/admin/stats",
                 [this](const QHttpServerRequest&, http::Responder&& w) {
-                  QJsonObject o{{"executed", static_cast<double>(executed_)},
-                                {"doubled", static_cast<double>(doubled_)}};
+                  QJsonObject o{
+                      {"executed", static_cast<double>(executed_)},
+                      {"doubled", static_cast<double>(duplicate_executions_)}};
                   http::WriteJson(w, 200, QJsonDocument(o).toJson());
                 });
   server_.Route(QHttpServerRequest::Method::Post, "/admin/faults",
@@ -33,13 +34,13 @@
   return server_.listen(QHostAddress::LocalHost, port);
 }
 
-void ServiceStandin::Die() {
+void ServiceStandin::SimulateCrash() {
   for (QTcpServer* s : server_.servers()) s->close();
   for (QTcpSocket* s : server_.findChildren<QTcpSocket*>()) s->abort();
 }
 
-void ServiceStandin::Serve(const QHttpServerRequest& request,
-                           http::Responder&& responder) {
+void ServiceStandin::HandleStage(const QHttpServerRequest& request,
+                                 http::Responder&& responder) {
   const QJsonObject body = QJsonDocument::fromJson(request.body()).object();
   const QByteArray request_id = request.value("x-request-id");
   if (faults_.leaving) {
@@ -66,9 +67,9 @@
       static_cast<int>(delay + 0.5), this, [this, held, request_id, key, body] {
         --active_;
         ++executed_;
-        // Executed twice for one key means at-most-once was broken upstream of
-        // us.
-        if (!key.empty() && ++executions_[key] == 2) ++doubled_;
+        // Two executions with one key mean that the sender has violated the
+        // at-most-once guarantee.
+        if (!key.empty() && ++executions_[key] == 2) ++duplicate_executions_;
         if (std::uniform_real_distribution<>(0, 1)(rng_) <
             faults_.lose_answer_rate) {
           (*held)->Abort();
--- a/libs/standins/test/remote_store_test.cc
+++ b/libs/standins/test/remote_store_test.cc
@@ -1,4 +1,4 @@
-// RemoteStore against the platform stand-in over loopback HTTP.
+// Tests RemoteStore with the platform stand-in over loopback HTTP.
 #include "turmeric/store/remote_store.h"
 
 #include <QCoreApplication>
@@ -19,7 +19,8 @@
 
 namespace {
 
-/** The stand-in on a thread of its own, as if a process of its own. */
+/** Runs the stand-in on a separate thread, because calls of RemoteStore block
+ * the thread of the test. */
 class PlatformThread {
  public:
   PlatformThread() : memory(std::make_shared<MemoryStore>()) {
@@ -58,16 +59,17 @@
   uint16_t port_ = 0;
 };
 
-bool Eventually(const std::function<bool()>& holds, int ms = 4000) {
-  for (int waited = 0; waited < ms && !holds(); waited += 10) {
+bool Eventually(const std::function<bool()>& condition, int timeout_ms = 4000) {
+  for (int waited_ms = 0; waited_ms < timeout_ms && !condition();
+       waited_ms += 10) {
     QThread::msleep(10);
   }
-  return holds();
+  return condition();
 }
 
 }  // namespace
 
-TEST_CASE("the object API behaves over the network as in process") {
+TEST_CASE("RemoteStore gives the same results as the in-process store") {
   PlatformThread platform;
   RemoteStore store(platform.Options());
   CHECK(store.Get("a/1").error().code == Errc::kStoreNotFound);
@@ -83,15 +85,16 @@
   CHECK(store.List("a/").value().objects.empty());
 }
 
-TEST_CASE("a write whose answer is lost is not sent again, and says so") {
-  // The platform applies a conditional create and the connection drops. Sent
-  // again by the network library, it would come back as a conflict with
-  // ourselves; reported as "unavailable", as if it had not happened.
+TEST_CASE("a write whose answer is lost is not retried and reports the loss") {
+  // Guards against a wrong result for a conditional create that is applied
+  // before the connection drops. A retry by the network library would fail with
+  // a conflict caused by the first attempt; the error "unavailable" would state
+  // that the write was not applied.
   PlatformThread platform;
   RemoteStore store(platform.Options());
-  PlatformFaults lossy;
-  lossy.store.lose_answer_rate = 1.0;
-  platform.SetFaults(lossy);
+  PlatformFaults lossy_faults;
+  lossy_faults.store.lose_answer_rate = 1.0;
+  platform.SetFaults(lossy_faults);
   CHECK(store.Put("k", "v", kAbsent).error().code == Errc::kStoreAnswerLost);
   platform.SetFaults({});
   CHECK(Eventually([&] { return store.Get("k").has_value(); }));
@@ -99,9 +102,10 @@
   CHECK(platform.memory->counts().writes == 1);
 }
 
-TEST_CASE("a silent store fails calls fast instead of queueing them") {
-  // The platform takes connections and answers nothing. Every call waiting
-  // for its timeout would queue requests behind the store threads.
+TEST_CASE("calls to a silent store fail at once after the first timeout") {
+  // Guards against requests that queue behind blocked store threads: the
+  // platform accepts connections without answering, and each call would block
+  // until its timeout.
   PlatformThread platform;
   RemoteStore store(platform.Options());
   PlatformFaults silent;
@@ -117,11 +121,11 @@
       Eventually([&] { return store.Put("k", "v", kAnyVersion).has_value(); }));
 }
 
-TEST_CASE("a watch sees every change through silence and lost history") {
-  // The connection of an instance's settings watch goes silent; meanwhile
-  // one organisation is changed, one removed, and the platform forgets its
-  // history. After re-arming the instance must hold exactly what is stored,
-  // without the removed organisation.
+TEST_CASE("a re-armed watch matches the store after silence and a compaction") {
+  // Guards against missed changes. While the connection of a watch is silent,
+  // one object is changed, one deleted and one created, and the platform
+  // compacts its history. After re-arming, the watcher must hold exactly the
+  // stored keys, without the deleted one.
   PlatformThread platform;
   RemoteStore store(platform.Options());
   HeldRevisions held;
@@ -132,7 +136,7 @@
     REQUIRE(platform.memory->Put(key, "1", kAbsent));
   }
   REQUIRE(watch.Arm());
-  CHECK(held.Held().size() == 2);  // the state so far, before Arm returns
+  CHECK(held.Held().size() == 2);  // Arm has delivered the current state
   PlatformFaults silent;
   silent.silent = true;
   platform.SetFaults(silent);
@@ -140,7 +144,7 @@
   REQUIRE(platform.memory->Delete("config/b", 1));
   REQUIRE(platform.memory->Put("config/d", "1", kAbsent));
   platform.memory->Compact();
-  CHECK(Eventually([&] { return !watch.armed(); }));  // silence is noticed
+  CHECK(Eventually([&] { return !watch.armed(); }));  // the watch timed out
   CHECK_FALSE(watch.Arm());
   platform.SetFaults({});
   CHECK(Eventually([&] { return watch.Arm().has_value(); }));
--- a/tools/turmericctl/routing_scenario.cc
+++ b/tools/turmericctl/routing_scenario.cc
@@ -55,7 +55,7 @@
   switch (trouble) {
     case Trouble::kSlowAndDead:
       services[kRetriever]->SetFaults({.slow_factor = 20});
-      services[kReranker]->Die();
+      services[kReranker]->SimulateCrash();
       break;
     case Trouble::kStalls:
       for (const auto& s : services) s->SetFaults({.stall_rate = 0.03});
