--- a/libs/kernel/include/turmeric/kernel/kernel.h
+++ b/libs/kernel/include/turmeric/kernel/kernel.h
@@ -9,7 +9,9 @@
 
 namespace turmeric::kernel {
 
-/** The micro-kernel: owns services, starts and stops them, finds by name. */
+/** Owns the services of a daemon, starts and stops them, and finds them by
+ * name.
+ */
 class Kernel {
  public:
   Kernel() = default;
@@ -18,23 +20,26 @@
   ~Kernel();
 
   /**
-   * @param service a service; its name must be unique.
-   * @return the service, still owned by the kernel.
+   * Adds a service.
+   * @param service a service with a unique name.
+   * @return the service, which is owned by the kernel.
    */
   Service* Register(std::unique_ptr<Service> service);
 
   /**
    * @param name a service name.
-   * @return the service of that name and type, or nullptr.
+   * @return the service with this name, or nullptr if there is none or it is
+   * not of type T.
    */
   template <class T>
   T* Find(std::string_view name) const {
     return dynamic_cast<T*>(FindService(name));
   }
 
-  /** @return first failure of any service's Start, in order. */
+  /** Starts the services in registration order, up to the first failure.
+   * @return the first failure, if any. */
   utils::Result<void> StartAll();
-  /** Stops every started service in reverse order; idempotent. */
+  /** Stops all started services in reverse order. Idempotent. */
   void StopAll();
 
  private:
--- a/libs/kernel/include/turmeric/kernel/service.h
+++ b/libs/kernel/include/turmeric/kernel/service.h
@@ -9,18 +9,18 @@
 class Kernel;
 
 /**
- * A part of the daemon with one job. Services find each other by name
- * through the Kernel, never by holding each other at construction.
+ * A component of the daemon. A service does not receive other services in its
+ * constructor; it looks them up by name in the Kernel.
  */
 class Service {
  public:
   virtual ~Service() = default;
-  /** @return the name other services look this one up by. */
+  /** @return the unique name under which the Kernel finds this service. */
   virtual std::string_view name() const = 0;
   /**
    * Starts the service; called in registration order.
-   * @param kernel the kernel, to look up services registered earlier.
-   * @return failure stops the daemon's start with that error.
+   * @param kernel for the lookup of services that were registered earlier.
+   * @return an error aborts the start of the daemon.
    */
   virtual utils::Result<void> Start(Kernel& kernel) = 0;
   /** Stops the service; called in reverse registration order. */
--- a/libs/kernel/src/kernel.cc
+++ b/libs/kernel/src/kernel.cc
@@ -6,8 +6,9 @@
 
 Kernel::~Kernel() {
   StopAll();
-  // Guard: a service may hold what an earlier one owns (the store); a vector
-  // destroys its first element first, leaving the later ones dangling.
+  // A service may hold a pointer to an object that an earlier service owns,
+  // such as the store. Destroys the last service first, because a vector
+  // destroys its first element first and would leave such pointers dangling.
   while (!services_.empty()) services_.pop_back();
 }
 
--- a/libs/kernel/test/kernel_test.cc
+++ b/libs/kernel/test/kernel_test.cc
@@ -4,18 +4,19 @@
 
 namespace {
 
-class Named : public turmeric::kernel::Service {
+class RecordingService : public turmeric::kernel::Service {
  public:
-  Named(std::string_view n, std::vector<std::string>* log) : n_(n), log_(log) {}
-  std::string_view name() const override { return n_; }
+  RecordingService(std::string_view service_name, std::vector<std::string>* log)
+      : name_(service_name), log_(log) {}
+  std::string_view name() const override { return name_; }
   turmeric::utils::Result<void> Start(turmeric::kernel::Kernel&) override {
-    log_->push_back("start " + std::string(n_));
+    log_->push_back("start " + std::string(name_));
     return boost::outcome_v2::success();
   }
-  void Stop() override { log_->push_back("stop " + std::string(n_)); }
+  void Stop() override { log_->push_back("stop " + std::string(name_)); }
 
  private:
-  std::string_view n_;
+  std::string_view name_;
   std::vector<std::string>* log_;
 };
 
@@ -24,12 +25,12 @@
 TEST_CASE("services are found by name and stopped in reverse order") {
   std::vector<std::string> log;
   {
-    turmeric::kernel::Kernel k;
-    k.Register(std::make_unique<Named>("a", &log));
-    k.Register(std::make_unique<Named>("b", &log));
-    REQUIRE(k.StartAll());
-    CHECK(k.Find<Named>("b") != nullptr);
-    CHECK(k.Find<Named>("c") == nullptr);
+    turmeric::kernel::Kernel kernel;
+    kernel.Register(std::make_unique<RecordingService>("a", &log));
+    kernel.Register(std::make_unique<RecordingService>("b", &log));
+    REQUIRE(kernel.StartAll());
+    CHECK(kernel.Find<RecordingService>("b") != nullptr);
+    CHECK(kernel.Find<RecordingService>("c") == nullptr);
   }
   CHECK(log ==
         std::vector<std::string>{"start a", "start b", "stop b", "stop a"});
