--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -1,6 +1,8 @@
-// Slopes for docs/CAPACITY.md: memory per organisation of settings, CPU per
-// resolve / config change / upstream pick / claim, store calls per request
-// and per config change. Run: build/bench/capacity_bench
+// Benchmarks of the per-unit costs used in docs/CAPACITY.md: memory of the
+// settings per organisation; CPU time per settings lookup, configuration
+// change, upstream choice and claim; store calls per request and per
+// configuration change; traffic, CPU time and memory of membership per node.
+// Run: build/bench/capacity_bench
 #include <benchmark/benchmark.h>
 #include <easylogging++.h>
 #include <malloc.h>
@@ -43,21 +45,24 @@
             kAnyVersion);
 }
 
-std::string OrgName(int i) { return "organisation-" + std::to_string(i); }
+std::string OrganisationName(int i) {
+  return "organisation-" + std::to_string(i);
+}
 
-/** An organisation states two keys, as the seeded ones do; with
- * `distinct`, no two organisations state the same text (the worst case). */
+/** Writes settings with two keys for each organisation, like the seeded ones.
+ * @param distinct true: the settings texts of all organisations differ (worst
+ *     case for memory); false: 50 texts are shared. */
 void SeedOrganisations(MemoryStore& store, int n, bool distinct = false) {
   for (int i = 0; i < n; ++i) {
     store.Put(
-        SettingsKey("organisation", "b", OrgName(i)),
+        SettingsKey("organisation", "b", OrganisationName(i)),
         "max_inflight = " + std::to_string(distinct ? i + 1 : i % 50 + 1) +
             "\nretry_budget_percent = 5\n",
         kAnyVersion);
   }
 }
 
-// Memory of the settings tree per organisation held on one instance.
+// Memory of the settings tree on one instance, per organisation.
 void BM_SettingsBytesPerOrganisation(benchmark::State& state) {
   const int n = static_cast<int>(state.range(0));
   MemoryStore store;
@@ -75,7 +80,8 @@
   }
   state.counters["bytes_per_org"] = bytes_per_org;
 }
-// Second argument: 0 = 50 distinct texts shared, 1 = every text distinct.
+// Arguments: number of organisations; 0 = 50 texts are shared, 1 = all texts
+// differ.
 BENCHMARK(BM_SettingsBytesPerOrganisation)
     ->Args({1000, 0})
     ->Args({49000, 0})
@@ -84,7 +90,8 @@
     ->Iterations(3)
     ->Unit(benchmark::kMillisecond);
 
-// CPU to resolve one request's settings with 49,000 organisations held.
+// CPU time to resolve the settings of one request with 49,000 organisations in
+// the settings tree.
 void BM_ResolvePerRequest(benchmark::State& state) {
   MemoryStore store;
   SeedBusiness(store);
@@ -93,14 +100,14 @@
   tree.Arm();
   std::mt19937_64 rng(1);
   for (auto _ : state) {
-    auto r = tree.Resolve("b", "p", OrgName(rng() % 49000));
+    auto r = tree.Resolve("b", "p", OrganisationName(rng() % 49000));
     benchmark::DoNotOptimize(r);
   }
 }
 BENCHMARK(BM_ResolvePerRequest);
 
-// CPU on each watching instance to apply one configuration change, and
-// store calls billed per change while the watches stay armed.
+// CPU time on each watching instance to apply one configuration change, and
+// store calls per change while the watches stay open.
 void BM_ConfigChangeFanout(benchmark::State& state) {
   const int instances = static_cast<int>(state.range(0));
   MemoryStore store;
@@ -118,7 +125,7 @@
     const std::string value =
         "max_inflight = " + std::to_string(changes % 90 + 1) + "\n";
     const std::string key =
-        SettingsKey("organisation", "b", OrgName(changes % 100));
+        SettingsKey("organisation", "b", OrganisationName(changes % 100));
     bytes += key.size() + value.size() + 16;  // key, value, version, revision
     store.Put(key, value, kAnyVersion);
     ++changes;
@@ -137,7 +144,8 @@
 }
 BENCHMARK(BM_ConfigChangeFanout)->Arg(1)->Arg(8)->Arg(64);
 
-// CPU of one power-of-two-choices pick over a 12-upstream pool.
+// CPU time of one power-of-two-choices pick in a pool; the argument is the
+// number of upstreams.
 void BM_UpstreamPick(benchmark::State& state) {
   turmeric::gateway::UpstreamPool pool;
   std::vector<turmeric::gateway::UpstreamRef> members;
@@ -157,7 +165,8 @@
 }
 BENCHMARK(BM_UpstreamPick)->Arg(12)->Arg(120);
 
-// Store calls and CPU per non-idempotent request (claim + complete).
+// Store calls and CPU time per non-idempotent request, which acquires and
+// completes one claim.
 void BM_ClaimPerNonIdempotentRequest(benchmark::State& state) {
   MemoryStore store;
   turmeric::gateway::ClaimTable table(store, "entry-1");
@@ -183,8 +192,8 @@
 }
 BENCHMARK(BM_ClaimPerNonIdempotentRequest);
 
-// Control traffic, CPU and memory of membership per node, by fleet size: a
-// settled fleet in virtual time, all its nodes in this process.
+// Traffic, CPU time and memory of membership per node, by fleet size. The fleet
+// is stable; all its nodes run in this process in virtual time.
 void BM_MembershipPerNode(benchmark::State& state) {
   using turmeric::membership::testing::FakeNetwork;
   const int n = static_cast<int>(state.range(0));
@@ -222,8 +231,10 @@
     ->Iterations(30)
     ->Unit(benchmark::kMillisecond);
 
-// The same through a bad hour: every 10 s one of the fleet is killed and
-// another restarted (letter 1: 1,000 restarts a day is one in 86 s).
+// Membership traffic and detection time under churn: in each iteration, a node
+// is killed and is restarted when all other nodes have removed it, at most 60 s
+// later; 10 s of virtual time follow. For comparison, 1,000 restarts a day are
+// one in 86 s.
 void BM_MembershipChurn(benchmark::State& state) {
   using turmeric::membership::testing::FakeNetwork;
   const int n = static_cast<int>(state.range(0));
--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -1,5 +1,6 @@
-// What one placement costs as engines, evacuated zones and instances grow, for
-// docs/CAPACITY.md. Run: build/bench/capacity_bench --benchmark_filter=Place
+// Benchmarks of the CPU time of one engine placement by number of engines and
+// instances and with an evacuated zone, for docs/CAPACITY.md.
+// Run: build/bench/capacity_bench --benchmark_filter=Place
 #include <benchmark/benchmark.h>
 
 #include <array>
@@ -26,8 +27,9 @@
 constexpr std::array<const char*, 3> kZones = {"a", "b", "c"};
 constexpr int kSessions = 1000;
 
-/** @param evacuated true: one zone of three is. */
-std::vector<UpstreamPtr> Engines(int64_t count, bool evacuated) {
+/** Creates engines in three zones. @param evacuated true: evacuates the first
+ * zone. */
+std::vector<UpstreamPtr> MakeEngines(int64_t count, bool evacuated) {
   std::vector<UpstreamPtr> engines;
   for (int64_t i = 0; i < count; ++i) {
     auto engine = std::make_shared<Upstream>();
@@ -40,7 +42,7 @@
   return engines;
 }
 
-ColdGuard GuardOf(int64_t instances) {
+ColdGuard MakeGuard(int64_t instances) {
   ColdGuard guard({}, "entry-0");
   std::set<std::string, std::less<>> others;
   for (int64_t i = 1; i < instances; ++i) {
@@ -50,10 +52,11 @@
   return guard;
 }
 
-/** The owner of a cell places a prompt: the cell's engines, the choice. */
+/** Placement by the owner of a cell, a subset of the engines: selects the
+ * engines of the cell and chooses one for the prompt. */
 void BM_PlaceAsOwner(benchmark::State& state) {
-  const auto engines = Engines(state.range(0), state.range(1) != 0);
-  ColdGuard guard = GuardOf(300);
+  const auto engines = MakeEngines(state.range(0), state.range(1) != 0);
+  ColdGuard guard = MakeGuard(300);
   ServiceSpec spec;
   spec.cold_per_s = 8.4;
   PromptMemory memory;
@@ -84,11 +87,11 @@
     ->ArgsProduct({{60, 140, 560, 2240, 7600}, {0, 1}})
     ->ArgNames({"engines", "evacuated"});
 
-/** An instance that does not hear the owner chooses among all engines, each of
- * which it may use a dealt share of. */
+/** Placement by an instance that cannot reach the owner of the cell: chooses
+ * among all engines, each with only this instance's share of its cold limit. */
 void BM_PlaceAlone(benchmark::State& state) {
-  const auto engines = Engines(140, false);
-  const ColdGuard guard = GuardOf(state.range(0));
+  const auto engines = MakeEngines(140, false);
+  const ColdGuard guard = MakeGuard(state.range(0));
   ServiceSpec spec;
   spec.cold_per_s = 8.4;
   for (auto _ : state) {
