--- a/scripts/capacity.sh
+++ b/scripts/capacity.sh
@@ -1,11 +1,12 @@
 #!/usr/bin/env bash
-# Re-measures every slope docs/CAPACITY.md is computed from, in one run:
-# the micro-benchmarks (memory per organisation, CPU per resolve, per config
-# change, per pick, per claim; membership traffic, CPU and memory by fleet
-# size; store calls per request and change), a daemon's own CPU per request,
-# stage and streamed token (slopes) and the
-# load tool's gateway-vs-direct run (CPU and latency per request).
-# Output: build/capacity/*.json and a text summary on stdout.
+# Measures all per-unit costs on which docs/CAPACITY.md is based: the
+# micro-benchmarks (memory per organisation; CPU time per settings lookup,
+# configuration change, upstream choice and claim; membership traffic, CPU time
+# and memory by fleet size; store calls per request and change), the CPU time of
+# a daemon per request, stage and streamed token (scenario "slopes"), and the CPU
+# time and latency per request through the gateway compared with direct calls
+# (scenario "overhead").
+# Output: build/capacity/*.json and a text summary on standard output.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake -S . -B build -DCMAKE_BUILD_TYPE=RelWithDebInfo >/dev/null
--- a/scripts/fleet.sh
+++ b/scripts/fleet.sh
@@ -1,7 +1,8 @@
 #!/usr/bin/env bash
-# A fleet of entry instances as processes of their own, against stand-ins in
-# the load tool's process, through kills, a pause, a planned stop, a silent
-# and a lossy store. Bounded in requests and time; everything is on loopback.
+# Runs a fleet of entry instances, one process each, with stand-ins for the
+# upstreams and the store in the process of the load tool. Injects kills, a pause,
+# a planned stop, and a store that is silent or loses answers. The number of
+# requests and the duration are limited; all traffic uses the loopback interface.
 # Usage: scripts/fleet.sh [instances] [turmericctl load flags...]
 set -euo pipefail
 cd "$(dirname "$0")/.."
--- a/scripts/generate.sh
+++ b/scripts/generate.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Regenerates committed FlatBuffers code; the build itself needs no generator.
+# Regenerates the committed FlatBuffers code; the build itself does not run flatc.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 flatc --cpp --scoped-enums --filename-suffix _generated \
--- a/scripts/install-deps.sh
+++ b/scripts/install-deps.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Installs every Debian package the build, tests and benches need.
-# Catch2's Debian package is named "catch2" (it has no -dev twin); Qt's HTTP
-# server needs qt6-websockets-dev for its CMake files.
+# Installs all Debian packages that the build, tests and benchmarks need. Catch2
+# is in the package "catch2"; there is no -dev package. The CMake files of the Qt
+# HTTP server need qt6-websockets-dev.
 set -euo pipefail
 export DEBIAN_FRONTEND=noninteractive
 apt-get update -qq
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,6 +1,7 @@
 #!/usr/bin/env bash
-# Builds the workspace and runs every test (Catch2 + rapidcheck via ctest).
-# Randomised tests use a fixed seed unless RC_PARAMS is set; the seed is printed.
+# Builds all targets and runs all tests (Catch2 and rapidcheck) with ctest.
+# Randomised tests use a fixed seed unless RC_PARAMS is set; the script prints
+# the seed.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 : "${RC_PARAMS:=seed=20261202 max_success=200}"
@@ -11,7 +12,7 @@
 cmake --build build -j"$(nproc)"
 echo "== build took $((SECONDS - started)) s"
 
-# Tests named in KNOWN-RED.txt are passed over and printed; no others are.
+# Skips and prints the tests listed in KNOWN-RED.txt, and no other tests.
 known_red=()
 if [ -f KNOWN-RED.txt ]; then
   mapfile -t known_red < <(grep -vE '^(#|$)' KNOWN-RED.txt)
--- a/scripts/tidy.sh
+++ b/scripts/tidy.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs clang-tidy (.clang-tidy) over every source file; fails on any finding.
-# Reads the compile commands of a build without precompiled headers: with them
-# each file would be parsed with all headers that its library shares.
+# Runs clang-tidy (.clang-tidy) on all source files; fails on any finding. Uses
+# the compile commands of a build without precompiled headers; otherwise each
+# file would be parsed together with all precompiled headers of its library.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 cmake -S . -B build-tidy -DCMAKE_BUILD_TYPE=RelWithDebInfo \
