--- a/libs/insight/include/turmeric/insight/log_event.h
+++ b/libs/insight/include/turmeric/insight/log_event.h
@@ -18,8 +18,7 @@
   std::string name;
   std::map<std::string, std::string, std::less<>> fields;
 
-  /** @param key field name. @return its value; empty if the field is absent.
-   */
+  /** @param key field name. @return its value; empty if it is absent. */
   std::string_view Text(std::string_view key) const;
   /** @param key field name. @param fallback result if the field is absent or
    * does not start with an integer. @return its value. */
--- a/libs/kernel/include/turmeric/kernel/kernel.h
+++ b/libs/kernel/include/turmeric/kernel/kernel.h
@@ -9,9 +9,7 @@
 
 namespace turmeric::kernel {
 
-/** Owns the services of a daemon, starts and stops them, and finds them by
- * name.
- */
+/** Owns, starts and stops the services of a daemon and finds them by name. */
 class Kernel {
  public:
   Kernel() = default;
@@ -29,7 +27,7 @@
   /**
    * @param name a service name.
    * @return the service with this name, or nullptr if there is none or it is
-   * not of type T.
+   *     not of type T.
    */
   template <class T>
   T* Find(std::string_view name) const {
--- a/libs/standins/include/turmeric/standins/service_standin.h
+++ b/libs/standins/include/turmeric/standins/service_standin.h
@@ -16,8 +16,8 @@
  * Stand-in for an encoder, retriever, reranker or other stage service.
  * `POST /v1/stage` answers with the request id after a delay that grows with
  * the number of active calls. Counts executions per idempotency key, so that a
- * test can detect a non-idempotent call that was executed twice (`GET
- * /admin/stats`).
+ * test can detect a non-idempotent call that was executed twice.
+ * `GET /admin/stats` returns the counts.
  */
 class ServiceStandin : public QObject {
  public:
@@ -28,12 +28,11 @@
   uint16_t Listen(uint16_t port);
   /** @param faults faults to inject into all later requests. */
   void SetFaults(const StandinFaults& faults) { faults_ = faults; }
-  /** Simulates a crashed process: stops listening and aborts all connections.
-   */
+  /** Simulates a crash: stops listening and aborts all connections. */
   void SimulateCrash();
   /** @return number of keys executed more than once; any such key violates the
    * at-most-once guarantee. */
-  int64_t duplicate_executions() const { return duplicate_executions_; }
+  int64_t duplicate_keys() const { return duplicate_keys_; }
   /** @return number of requests executed. */
   int64_t executed() const { return executed_; }
   /** @param key idempotency key. @return number of executions with this key. */
@@ -55,7 +54,7 @@
   int active_ = 0;
   int reported_depth_ = 0;
   int64_t executed_ = 0;
-  int64_t duplicate_executions_ = 0;
+  int64_t duplicate_keys_ = 0;
   int64_t refused_leaving_ = 0;
   std::map<std::string, int> executions_;
   std::mt19937_64 rng_{7};
--- a/libs/standins/src/engine_standin.cc
+++ b/libs/standins/src/engine_standin.cc
@@ -95,13 +95,13 @@
   if (completion->stream) {
     completion->responder->StartStream("text/event-stream", headers);
   }
-  auto emit_token = std::make_shared<std::function<void()>>();
-  *emit_token = [this, completion, emit_token] {
+  auto decode_step = std::make_shared<std::function<void()>>();
+  *decode_step = [this, completion, decode_step] {
     if (completion->stream && completion->emitted == faults_.cut_stream_after) {
       --active_;
       completion->responder->Abort();
       completion->responder.reset();
-      *emit_token = nullptr;
+      *decode_step = nullptr;
       return;
     }
     if (completion->emitted < completion->max_tokens) {
@@ -123,7 +123,7 @@
           1.0 + static_cast<double>(active_) / model_.batch_capacity;
       const int delay =
           static_cast<int>(model_.token_ms * batch * faults_.slow_factor + 0.5);
-      QTimer::singleShot(delay, this, *emit_token);
+      QTimer::singleShot(delay, this, *decode_step);
       return;
     }
     --active_;
@@ -146,11 +146,11 @@
                        {"x-queue-depth", QByteArray::number(reported_depth_)}});
     }
     completion->responder.reset();
-    *emit_token =
-        nullptr;  // Breaks the reference cycle, so that the state is freed.
+    // Breaks the reference cycle, so that the state is freed.
+    *decode_step = nullptr;
   };
   QTimer::singleShot(static_cast<int>(prefill_ms * faults_.slow_factor), this,
-                     *emit_token);
+                     *decode_step);
 }
 
 }  // namespace turmeric::standins
--- a/libs/standins/src/platform_standin.cc
+++ b/libs/standins/src/platform_standin.cc
@@ -61,8 +61,8 @@
 struct PlatformStandin::OpenWatch {
   std::shared_ptr<http::Responder> responder;
   int64_t id = 0;
-  bool started = false;
-  QByteArray replay;  ///< JSON lines buffered before the stream starts.
+  bool stream_started = false;
+  QByteArray initial_lines;  ///< JSON lines buffered before the stream starts.
 };
 
 PlatformStandin::PlatformStandin(std::shared_ptr<store::MemoryStore> store)
@@ -96,13 +96,16 @@
 
 void PlatformStandin::AnswerDelayed(
     http::Responder&& responder, std::function<void(http::Responder&)> answer) {
-  auto held = std::make_shared<http::Responder>(std::move(responder));
+  auto shared_responder =
+      std::make_shared<http::Responder>(std::move(responder));
   if (faults_.silent) {
-    unanswered_.push_back(std::move(held));
+    unanswered_.push_back(std::move(shared_responder));
     return;
   }
   QTimer::singleShot(faults_.delay_ms, Qt::PreciseTimer, this,
-                     [held, answer = std::move(answer)] { answer(*held); });
+                     [shared_responder, answer = std::move(answer)] {
+                       answer(*shared_responder);
+                     });
 }
 
 void PlatformStandin::AddRoutes() {
@@ -193,8 +196,8 @@
       return;
     }
     const QByteArray line = JsonLine(store::ObjectToJson(event.value()));
-    if (!watch->started) {
-      watch->replay += line;
+    if (!watch->stream_started) {
+      watch->initial_lines += line;
     } else if (!faults_.silent) {
       watch->responder->WriteChunk(line);
     }
@@ -210,12 +213,12 @@
       on_event);
   if (!id) return WriteError(*watch->responder, id.error());
   watch->id = id.value();
-  watch->started = true;
+  watch->stream_started = true;
   watch->responder->StartStream("application/x-ndjson");
   watch->responder->WriteChunk(
-      watch->replay +
+      watch->initial_lines +
       JsonLine({{"bookmark", static_cast<double>(store_->revision())}}));
-  watch->replay.clear();
+  watch->initial_lines.clear();
   watch->responder->OnGone([this, watch] {
     store_->CancelWatch(watch->id);
     std::erase(watches_, watch);
--- a/libs/standins/src/service_standin.cc
+++ b/libs/standins/src/service_standin.cc
@@ -16,7 +16,7 @@
                 [this](const QHttpServerRequest&, http::Responder&& w) {
                   QJsonObject o{
                       {"executed", static_cast<double>(executed_)},
-                      {"doubled", static_cast<double>(duplicate_executions_)}};
+                      {"doubled", static_cast<double>(duplicate_keys_)}};
                   http::WriteJson(w, 200, QJsonDocument(o).toJson());
                 });
   server_.Route(QHttpServerRequest::Method::Post, "/admin/faults",
@@ -56,7 +56,7 @@
   }
   const std::string key = request.value("idempotency-key").toStdString();
   ++active_;
-  auto held =
+  auto shared_responder =
       std::make_shared<std::optional<http::Responder>>(std::move(responder));
   constexpr double kStallFactor = 20;
   const bool stalls =
@@ -64,16 +64,17 @@
   const double delay = delay_ms_ * (1.0 + active_ / 8.0) * faults_.slow_factor *
                        (stalls ? kStallFactor : 1.0);
   QTimer::singleShot(
-      static_cast<int>(delay + 0.5), this, [this, held, request_id, key, body] {
+      static_cast<int>(delay + 0.5), this,
+      [this, shared_responder, request_id, key, body] {
         --active_;
         ++executed_;
         // Two executions with one key mean that the sender has violated the
         // at-most-once guarantee.
-        if (!key.empty() && ++executions_[key] == 2) ++duplicate_executions_;
+        if (!key.empty() && ++executions_[key] == 2) ++duplicate_keys_;
         if (std::uniform_real_distribution<>(0, 1)(rng_) <
             faults_.lose_answer_rate) {
-          (*held)->Abort();
-          held->reset();
+          (*shared_responder)->Abort();
+          shared_responder->reset();
           return;
         }
         const QString stage = body.value("stage").toString();
@@ -81,10 +82,11 @@
         QJsonObject out{{"request_id", QString(request_id)},
                         {"output", stage + "(" + input + ")"}};
         http::WriteJson(
-            **held, 200, QJsonDocument(out).toJson(QJsonDocument::Compact),
+            **shared_responder, 200,
+            QJsonDocument(out).toJson(QJsonDocument::Compact),
             {{"x-request-id", request_id},
              {"x-queue-depth", QByteArray::number(reported_depth_)}});
-        held->reset();
+        shared_responder->reset();
       });
 }
 
--- a/libs/utils/include/turmeric/utils/result.h
+++ b/libs/utils/include/turmeric/utils/result.h
@@ -89,7 +89,7 @@
  * the `Retry-After` header.
  * @param code a result code.
  * @return delay in milliseconds (0: retry at once at another instance), or -1
- * if a retry of the same request cannot succeed.
+ *     if a retry of the same request cannot succeed.
  */
 int RetryAfterMs(Errc code);
 
--- a/libs/utils/src/trace.cc
+++ b/libs/utils/src/trace.cc
@@ -10,8 +10,8 @@
 namespace turmeric::utils {
 namespace {
 
-constexpr size_t kTraceIdDigits = 32;
-constexpr size_t kSpanIdDigits = 16;
+constexpr size_t kTraceIdLen = 32;
+constexpr size_t kSpanIdLen = 16;
 
 bool IsLowerHex(std::string_view s) {
   return std::ranges::all_of(s, [](char c) {
@@ -28,8 +28,8 @@
       header[35] != '-' || header[52] != '-') {
     return std::nullopt;
   }
-  TraceContext ctx{std::string(header.substr(3, kTraceIdDigits)),
-                   std::string(header.substr(36, kSpanIdDigits)),
+  TraceContext ctx{std::string(header.substr(3, kTraceIdLen)),
+                   std::string(header.substr(36, kSpanIdLen)),
                    header.substr(53, 2) == "01"};
   const bool all_zero_trace =
       std::ranges::all_of(ctx.trace_id, [](char c) { return c == '0'; });
@@ -45,9 +45,8 @@
 }
 
 TraceContext ChildContext(const std::optional<TraceContext>& parent) {
-  if (parent)
-    return {parent->trace_id, RandomHex(kSpanIdDigits), parent->sampled};
-  return {RandomHex(kTraceIdDigits), RandomHex(kSpanIdDigits), true};
+  if (parent) return {parent->trace_id, RandomHex(kSpanIdLen), parent->sampled};
+  return {RandomHex(kTraceIdLen), RandomHex(kSpanIdLen), true};
 }
 
 SpanSink::SpanSink(std::string path) : path_(std::move(path)) {}
--- a/tools/turmericctl/verdict.cc
+++ b/tools/turmericctl/verdict.cc
@@ -13,8 +13,7 @@
 Verdict CheckDelivery(const std::vector<LoadResult>& results, int run,
                       const gateway::EmbeddedPlatform& platform) {
   Verdict v;
-  for (const auto& s : platform.services())
-    v.doubled += s->duplicate_executions();
+  for (const auto& s : platform.services()) v.doubled += s->duplicate_keys();
   for (const auto& e : platform.engines()) {
     v.leaving_refusals += e->refused_leaving();
   }
