--- a/tools/turmericctl/explain_command.cc
+++ b/tools/turmericctl/explain_command.cc
@@ -5,9 +5,9 @@
 #include <span>
 #include <string_view>
 
-#include "turmeric/insight/control_report.h"
+#include "turmeric/insight/control_plane_report.h"
 #include "turmeric/insight/crash_report.h"
-#include "turmeric/insight/loss_report.h"
+#include "turmeric/insight/request_outcome_report.h"
 #include "turmeric/utils/result.h"
 
 namespace turmeric::ctl {
@@ -52,12 +52,12 @@
 int RunExplainCommand(const std::vector<std::string>& words) {
   const std::span<const std::string> all(words);
   if (!all.empty() && all.front() == kControl) {
-    return Explain<insight::ControlReport>(all.subspan(1));
+    return Explain<insight::ControlPlaneReport>(all.subspan(1));
   }
   if (!all.empty() && all.front() == kCrashes) {
     return Explain<insight::CrashReport>(all.subspan(1));
   }
-  return Explain<insight::LossReport>(all);
+  return Explain<insight::RequestOutcomeReport>(all);
 }
 
 }  // namespace turmeric::ctl
