--- a/tools/turmericgated/entry_main.cc
+++ b/tools/turmericgated/entry_main.cc
@@ -18,8 +18,11 @@
 
 namespace {
 
-constexpr int kBadSettings = 2;
+/** Exit status for unreadable or invalid settings and for a failed start. */
+constexpr int kExitBadSettings = 2;
 
+/** Applies the settings file again; if it is invalid, the settings in use stay
+ * in force and the refusal is logged. */
 void Reload(entry::EntryService& service, const std::string& settings_file) {
   auto settings = config::LoadEntrySettings(settings_file);
   if (settings) return service.Reload(settings.value());
@@ -34,11 +37,11 @@
   auto settings = config::LoadEntrySettings(settings_file);
   if (!settings) {
     ReportError(settings.error());
-    return kBadSettings;
+    return kExitBadSettings;
   }
   utils::ConfigureLogging(settings.value().log_level);
-  std::chrono::steady_clock::time_point stopped;
-  int rc = 0;
+  std::chrono::steady_clock::time_point loop_ended;
+  int exit_code = 0;
   {
     kernel::Kernel kernel;
     auto* service = static_cast<entry::EntryService*>(
@@ -47,22 +50,23 @@
             platform::MakeLink(settings.value().store_address))));
     if (auto started = kernel.StartAll(); !started) {
       ReportError(started.error());
-      return kBadSettings;
+      return kExitBadSettings;
     }
     const SignalPipe signals([&](int number) {
       if (number == SIGHUP) return Reload(*service, settings_file);
       service->Drain([&app] { app.quit(); });
     });
-    rc = app.exec();
-    stopped = std::chrono::steady_clock::now();
+    exit_code = app.exec();
+    loop_ended = std::chrono::steady_clock::now();
     kernel.StopAll();
   }
-  // The stop grace ends with the process, not with its last answer.
+  // The stop grace period runs until the process has exited, not until its
+  // last response, so the duration of the teardown is logged as well.
   utils::DecisionLog("torn_down")
       .Add("ms", std::chrono::duration_cast<std::chrono::milliseconds>(
-                     std::chrono::steady_clock::now() - stopped)
+                     std::chrono::steady_clock::now() - loop_ended)
                      .count());
-  return rc;
+  return exit_code;
 }
 
 }  // namespace turmeric::daemon
--- a/tools/turmericgated/entry_main.h
+++ b/tools/turmericgated/entry_main.h
@@ -7,9 +7,12 @@
 namespace turmeric::daemon {
 
 /**
- * Runs an entry instance on the platform until it is told to stop.
- * @param app the application. @param settings_file INI with [entry].
- * @return the process's exit code; 2 for bad settings.
+ * Runs an entry instance against the platform's object store until SIGTERM or
+ * SIGINT; then drains and stops it. SIGHUP reloads the settings file.
+ * @param app the application whose event loop is run.
+ * @param settings_file path of the INI file with an [entry] section.
+ * @return exit code of the process; 2 if the settings are invalid or a service
+ *     cannot start.
  */
 int RunEntry(QCoreApplication& app, const std::string& settings_file);
 
--- a/tools/turmericgated/main.cc
+++ b/tools/turmericgated/main.cc
@@ -1,4 +1,6 @@
-// turmericgated: the entry instance daemon.
+// turmericgated: the instance daemon. If the settings file has an [entry]
+// section, it runs an entry instance on the platform; otherwise it runs a
+// gateway instance with the [instance] settings.
 #include <easylogging++.h>
 #include <gflags/gflags.h>
 
@@ -36,6 +38,7 @@
               "override instance/trace_path (JSON-lines spans)");
 
 namespace {
+/** Value of instance/store that selects a store in this process. */
 constexpr std::string_view kEmbeddedStore = "embedded";
 
 std::shared_ptr<turmeric::store::ObjectStore> OpenStore(
@@ -93,11 +96,12 @@
   bool stopping = false;
   const turmeric::daemon::SignalPipe signals([&](int number) {
     if (number == SIGHUP || std::exchange(stopping, true)) return;
-    // Planned stop: take no new work, finish what is in flight, then quit.
+    // Planned stop: refuse new requests, finish those in flight, close the
+    // listening socket, then quit.
     gateway->Drain([&] { gateway->Close([&] { app.quit(); }); });
   });
-  const int rc = app.exec();
+  const int exit_code = app.exec();
   kernel.StopAll();
   LOG(INFO) << "event=stopped";
-  return rc;
+  return exit_code;
 }
--- a/tools/turmericgated/report_error.h
+++ b/tools/turmericgated/report_error.h
@@ -4,7 +4,7 @@
 
 namespace turmeric::daemon {
 
-/** Writes a numbered error to standard error. @param error the error. */
+/** Writes the code number, name and detail of an error to standard error. */
 void ReportError(const utils::Error& error);
 
 }  // namespace turmeric::daemon
--- a/tools/turmericgated/signal_pipe.cc
+++ b/tools/turmericgated/signal_pipe.cc
@@ -10,12 +10,13 @@
 
 namespace {
 
+/** Read end and write end; -1 while no SignalPipe exists. */
 std::array<int, 2> g_pipe = {-1, -1};
 
 void OnSignal(int number) {
   const auto byte = static_cast<char>(number);
-  // A full pipe holds signals enough; there is nothing to do about an error
-  // inside a handler.
+  // If the pipe is full, enough signals are pending already; a signal handler
+  // cannot handle any other write error.
   [[maybe_unused]] const ssize_t written = ::write(g_pipe[1], &byte, 1);
 }
 
