--- a/tools/turmericctl/balancer.cc
+++ b/tools/turmericctl/balancer.cc
@@ -8,7 +8,7 @@
 namespace {
 constexpr int kProbeEveryMs = 250;
 constexpr int kProbeTimeoutMs = 250;
-constexpr int kMissesToLeave = 2;
+constexpr int kFailedProbesToRemove = 2;
 constexpr int kStatusOk = 200;
 }  // namespace
 
@@ -33,7 +33,7 @@
     probed.probing = false;
     const int status =
         reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
-    probed.misses = status == kStatusOk ? 0 : probed.misses + 1;
+    probed.failed_probes = status == kStatusOk ? 0 : probed.failed_probes + 1;
     reply->deleteLater();
   });
 }
@@ -41,18 +41,19 @@
 QString Balancer::Next() {
   for (size_t i = 0; i < targets_.size(); ++i) {
     const Target& target = targets_[next_++ % targets_.size()];
-    if (target.misses < kMissesToLeave) return target.url;
+    if (target.failed_probes < kFailedProbesToRemove) return target.url;
   }
   return targets_[next_++ % targets_.size()].url;
 }
 
 int Balancer::healthy() const {
-  return static_cast<int>(std::ranges::count_if(
-      targets_, [](const Target& t) { return t.misses < kMissesToLeave; }));
+  return static_cast<int>(std::ranges::count_if(targets_, [](const Target& t) {
+    return t.failed_probes < kFailedProbesToRemove;
+  }));
 }
 
 bool Balancer::healthy(int index) const {
-  return targets_[index].misses < kMissesToLeave;
+  return targets_[index].failed_probes < kFailedProbesToRemove;
 }
 
 }  // namespace turmeric::ctl
--- a/tools/turmericctl/balancer.h
+++ b/tools/turmericctl/balancer.h
@@ -9,24 +9,27 @@
 namespace turmeric::ctl {
 
 /**
- * Stand-in for the platform's balancer: spreads requests over the entry
- * instances whose health check answers 200; two misses take one out.
+ * Stand-in for the load balancer of the platform: distributes requests in turn
+ * over the instances whose health check answers 200. Two failed probes in a row
+ * remove an instance from rotation; one successful probe adds it again.
  */
 class Balancer : public QObject {
  public:
-  /** @param base_urls the entry instances. */
+  /** @param base_urls base URL of each instance. */
   explicit Balancer(std::vector<QString> base_urls);
-  /** @return the next instance in turn, preferring healthy ones. */
+  /** @return base URL of the next healthy instance in turn; of any instance if
+   * none is healthy. */
   QString Next();
-  /** @return instances now in rotation. */
+  /** @return number of instances in rotation. */
   int healthy() const;
-  /** @param index an instance. @return whether it is in rotation. */
+  /** @param index of an instance. @return true if it is in rotation. */
   bool healthy(int index) const;
 
  private:
   struct Target {
     QString url;
-    int misses = 2;  ///< Out until its first good answer.
+    /** Starts out of rotation, until the first successful probe. */
+    int failed_probes = 2;
     bool probing = false;
   };
   void Probe(size_t index);
--- a/tools/turmericctl/config_command.cc
+++ b/tools/turmericctl/config_command.cc
@@ -94,9 +94,9 @@
                 << proposed.error().detail << "\n";
       return 1;
     }
-    auto held = config::ParseLayer(stored);
-    const auto& before =
-        held ? held.value().entries : decltype(proposed.value().entries){};
+    auto stored_layer = config::ParseLayer(stored);
+    const auto& before = stored_layer ? stored_layer.value().entries
+                                      : decltype(proposed.value().entries){};
     const auto& after = proposed.value().entries;
     for (const auto& e : before) {
       if (std::ranges::find(after, e) == after.end()) {
--- a/tools/turmericctl/config_command.h
+++ b/tools/turmericctl/config_command.h
@@ -8,16 +8,17 @@
 /**
  * `turmericctl config get|list|set|diff ...` against an instance.
  * @param target base URL of an entry instance.
- * @param args words after "config".
- * @return process exit code (0 ok, 1 refused, 2 usage).
+ * @param args command line arguments after "config".
+ * @return process exit code (0: success, 1: refused or failed, 2: usage).
  */
 int RunConfigCommand(const std::string& target,
                      const std::vector<std::string>& args);
 
 /**
- * `turmericctl run`: one request through a pipeline, answer printed.
+ * `turmericctl run`: sends one request to a pipeline and prints the answer.
  * @param target base URL of an entry instance.
- * @return 0 if the answer says "ran", else 1.
+ * @return process exit code: 0 if the state in the answer is "ran",
+ * otherwise 1.
  */
 int RunPipelineCommand(const std::string& target);
 
--- a/tools/turmericctl/explain_command.cc
+++ b/tools/turmericctl/explain_command.cc
@@ -25,7 +25,7 @@
   }
 }
 
-/** Fills a report from the files and prints it. @return the exit status. */
+/** Fills a report from the files and prints it. @return process exit code. */
 template <class Report>
 int Explain(std::span<const std::string> files) {
   Report report;
--- a/tools/turmericctl/explain_command.h
+++ b/tools/turmericctl/explain_command.h
@@ -6,12 +6,14 @@
 namespace turmeric::ctl {
 
 /**
- * "explain [control] FILE...": says from the logs of a fleet which stage
- * services bind and how requests are lost; with "control", when and by which
- * path each instance came to act on each configuration. "-" or no file reads
- * standard input.
- * @param words behind the command. @return the exit status: 2 if a file cannot
- *     be read.
+ * `turmericctl explain [control | crashes] FILE...`: prints a report from the
+ * logs of a fleet. Without a report name, reports which stage services limit
+ * the throughput and how requests are lost; with "control", when and by which
+ * path each instance applied each configuration; with "crashes", which requests
+ * ran on several upstreams that broke off. Reads standard input for "-" or if
+ * no file is given.
+ * @param words command line arguments after "explain".
+ * @return process exit code; 2 if a file cannot be read.
  */
 int RunExplainCommand(const std::vector<std::string>& words);
 
--- a/tools/turmericctl/faults_scenario.cc
+++ b/tools/turmericctl/faults_scenario.cc
@@ -1,5 +1,5 @@
-// `turmericctl load --scenario=faults`: the brief's promises under faults,
-// policy against baseline in the same run.
+// `turmericctl load --scenario=faults`: checks the delivery guarantees under
+// faults, with the default policy and with a baseline policy in the same run.
 #include <gflags/gflags.h>
 
 #include <QJsonArray>
@@ -35,7 +35,8 @@
   const int instances = std::clamp(FLAGS_instances, 2, 8);
   if (!stack.Start(instances)) return {{"error", "cannot start"}};
   if (baseline) {
-    // Baseline: round-robin, no retries, no admission limits, no shedding.
+    // The baseline has round-robin routing, no retries, no admission limits and
+    // no load shedding.
     stack.store->Put(
         config::SettingsKey("group", "", ""),
         "deadline_ms = 6000\nmax_inflight = 1000000\nrouting = round_robin\n"
@@ -58,28 +59,29 @@
   const auto& services = stack.embedded->services();
   const int total = std::clamp(FLAGS_requests, 50, 20000);
   auto make = [&](int i, int attempt) {
-    // A caller's retry lands on another instance, as the balancer would.
+    // A retry of a caller goes to another instance, as with a load balancer.
     return MixRequest(stack.Url((i + attempt) % instances), run_index, i);
   };
-  // The fault schedule, in ms from the start of the run.
+  // Fault schedule, in ms after the start of the run.
   std::vector<std::unique_ptr<QTimer>> timers;
   auto at = [&](int ms, std::function<void()> action) {
     auto t = std::make_unique<QTimer>();
     t->setSingleShot(true);
-    t->setTimerType(Qt::PreciseTimer);  // the schedule is what is measured
+    // Faults must start at the scheduled time.
+    t->setTimerType(Qt::PreciseTimer);
     QObject::connect(t.get(), &QTimer::timeout, action);
     t->start(ms);
     timers.push_back(std::move(t));
   };
   at(300, [&] {
     services[6]->SetFaults({.slow_factor = 20});
-  });  // a stage service slows
+  });  // one stage service becomes 20 times slower
   at(800, [&] {
     stack.store->SetFaults(
         {.outage = false, .lose_answer_rate = 0.3, .seed = FLAGS_seed});
   });
-  // One engine per business is replaced: the platform's list says
-  // "leaving" 300 ms late; the engines refuse new work 1 s after that.
+  // One engine per business leaves: the list of the platform shows "leaving"
+  // after 300 ms, and the engine refuses new work 1 s after that.
   constexpr int kLeaveAt = 1000;
   constexpr int kListLagMs = 300;
   constexpr int kGraceMs = 1000;
@@ -91,9 +93,9 @@
     at(kLeaveAt + kListLagMs + kGraceMs,
        [&, e] { engines[e]->SetFaults({.leaving = true}); });
   }
-  // Calls an engine receives after the list reached every instance
-  // (lag + 100 ms margin for the event loop) are new work sent to a
-  // leaving upstream.
+  // Calls that an engine receives after all instances have received the list
+  // (kListLagMs and 100 ms for the event loop) count as sent to a leaving
+  // upstream.
   int64_t received_at_list[2] = {0, 0};
   at(kLeaveAt + kListLagMs + 100, [&] {
     received_at_list[0] = engines[0]->received();
--- a/tools/turmericctl/fleet.cc
+++ b/tools/turmericctl/fleet.cc
@@ -11,8 +11,10 @@
 #include "turmeric/gateway/store_service.h"
 #include "turmeric/store/memory_store.h"
 
-DEFINE_string(targets, "", "fleet: ip:port of each entry instance, by comma");
-DEFINE_string(pids, "", "fleet: their process ids, in the same order");
+DEFINE_string(targets, "",
+              "fleet: ip:port of each entry instance, comma-separated");
+DEFINE_string(pids, "",
+              "fleet: process ids of the instances, in the same order");
 DEFINE_int32(platform_port, 7000, "fleet: port of the platform stand-in");
 
 namespace turmeric::ctl {
@@ -50,7 +52,7 @@
   ::kill(pids_[instance], signal);
 }
 
-void Fleet::SetStore(const standins::PlatformFaults& faults) {
+void Fleet::SetStoreFaults(const standins::PlatformFaults& faults) {
   platform_->SetFaults(faults);
 }
 
--- a/tools/turmericctl/fleet.h
+++ b/tools/turmericctl/fleet.h
@@ -20,23 +20,25 @@
 namespace turmeric::ctl {
 
 /**
- * Entry instances running as processes of their own (--targets, --pids), and
- * the stand-ins around them, which run in this process.
+ * Instances in processes of their own (--targets, --pids), and the stand-ins
+ * for the systems that they call, which run in this process.
  */
 class Fleet {
  public:
-  /** @return false if --targets and --pids do not name at least 4. */
+  /** Starts the stand-ins. @return false if that fails or if --targets and
+   * --pids do not name the same number of instances, at least 4. */
   bool Start();
-  /** @param instance index. @param signal sent to its process. */
+  /** Sends a signal to the process of an instance.
+   * @param instance index of the instance. @param signal its number. */
   void Signal(size_t instance, int signal);
-  /** @param faults of the platform's store from now on. */
-  void SetStore(const standins::PlatformFaults& faults);
+  /** @param faults of the platform's store until the next call. */
+  void SetStoreFaults(const standins::PlatformFaults& faults);
 
   /** @return base URL of each instance. */
   const std::vector<QString>& urls() const { return urls_; }
   /** @return the upstream stand-ins. */
   gateway::EmbeddedPlatform& embedded() { return *embedded_; }
-  /** @return what the platform's store holds. */
+  /** @return the objects of the platform's store. */
   store::MemoryStore& memory() { return *memory_; }
 
  private:
@@ -48,7 +50,7 @@
   std::vector<pid_t> pids_;
 };
 
-/** Lets the event loop run. @param ms how long. */
+/** Runs the event loop for a time. @param ms duration. */
 void RunFor(int ms);
 
 }  // namespace turmeric::ctl
--- a/tools/turmericctl/fleet_scenario.cc
+++ b/tools/turmericctl/fleet_scenario.cc
@@ -1,6 +1,7 @@
-// `turmericctl load --scenario=fleet`: entry instances as processes of their
-// own (started by scripts/fleet.sh), stand-ins for everything outside them in
-// this process, and faults by signal and at the platform's store.
+// `turmericctl load --scenario=fleet`: instances in processes of their own,
+// started by scripts/fleet.sh; stand-ins for the systems that they call run in
+// this process. Faults are signals to instances and faults of the platform's
+// store.
 #include <gflags/gflags.h>
 #include <signal.h>
 
@@ -25,7 +26,7 @@
 DECLARE_int32(requests);
 DECLARE_int32(concurrency);
 DECLARE_uint64(seed);
-DEFINE_bool(faults, true, "fleet: play the fault schedule");
+DEFINE_bool(faults, true, "fleet: run the fault schedule");
 
 namespace turmeric::ctl {
 
@@ -33,24 +34,30 @@
 
 using standins::PlatformFaults;
 
-/** The instances each fault is for; they need not be distinct from 3 on. */
-enum Victim : size_t { kKilled = 0, kPaused = 1, kStopped = 2, kOperated = 3 };
+/** Index of the instance that each fault or change is applied to. */
+enum FaultTarget : size_t {
+  kKilled = 0,
+  kPaused = 1,
+  kStopped = 2,
+  kOperated = 3  ///< Receives the settings change.
+};
 
-/** One settings change, timed until it is in force on each instance. */
+/** Writes one settings change and measures when it is in force on each
+ * instance. */
 class ConfigProbe : public QObject {
  public:
   ConfigProbe(Fleet& fleet, Balancer& balancer)
       : fleet_(fleet), balancer_(balancer) {
     connect(&poll_, &QTimer::timeout, this, [this] { Poll(); });
   }
-  /** Writes through one instance as an operator does. */
+  /** Writes the change through instance kOperated, as an operator does. */
   void Begin() {
     constexpr const char* kKey = "organisation/nilelight/nile-clinics";
-    auto held =
+    auto stored =
         fleet_.memory().Get(config::kConfigPrefix.data() + std::string(kKey));
     QNetworkRequest put(QUrl(fleet_.urls()[kOperated] + "/v1/config/" + kKey));
     put.setRawHeader("If-Match", QByteArray::number(static_cast<qlonglong>(
-                                     held ? held.value().version : 0)));
+                                     stored ? stored.value().version : 0)));
     put.setHeader(QNetworkRequest::ContentTypeHeader, "text/plain");
     QNetworkReply* reply = network_.put(put, "max_inflight = 33");
     connect(reply, &QNetworkReply::finished, this, [this, reply] {
@@ -60,16 +67,17 @@
                       .value("revision")
                       .toDouble();
       reply->deleteLater();
-      since_ = std::chrono::steady_clock::now();
+      accepted_at_ = std::chrono::steady_clock::now();
       if (accepted_) poll_.start(5);
     });
   }
   bool accepted() const { return accepted_; }
-  /** @return ms until the slowest of the instances in rotation had it. */
+  /** @return time until the change was in force on the last instance, ms. */
   double slowest_ms() const { return slowest_ms_; }
-  /** @return instances seen with it in force. */
+  /** @return number of instances on which the change was in force. */
   size_t in_force() const { return in_force_.size(); }
-  /** @return instances that went back to an older revision. */
+  /** @return number of polls that showed an older revision after the change was
+   * in force on the instance. */
   int reverted() const { return reverted_; }
 
  private:
@@ -89,7 +97,7 @@
         if (!now && in_force_.contains(i)) ++reverted_;
         if (now && in_force_.emplace(i, true).second) {
           slowest_ms_ = std::chrono::duration<double, std::milli>(
-                            std::chrono::steady_clock::now() - since_)
+                            std::chrono::steady_clock::now() - accepted_at_)
                             .count();
         }
       });
@@ -101,7 +109,7 @@
   Balancer& balancer_;
   QNetworkAccessManager network_;
   QTimer poll_;
-  std::chrono::steady_clock::time_point since_;
+  std::chrono::steady_clock::time_point accepted_at_;
   std::map<size_t, bool> in_force_;
   double revision_ = 0;
   double slowest_ms_ = 0;
@@ -114,9 +122,10 @@
 int RunFleetScenario() {
   Fleet fleet;
   if (!fleet.Start()) {
-    std::fprintf(stderr,
-                 "fleet: want --targets and --pids of at least 4 instances; "
-                 "run scripts/fleet.sh\n");
+    std::fprintf(
+        stderr,
+        "fleet: cannot start; needs --targets and --pids of at least 4 "
+        "instances; run scripts/fleet.sh\n");
     return 2;
   }
   Balancer balancer(fleet.urls());
@@ -146,13 +155,13 @@
     lossy.store = {.lose_answer_rate = 0.3, .seed = FLAGS_seed};
     at(800, [&] { fleet.Signal(kPaused, SIGSTOP); });
     at(1200, [&] { fleet.Signal(kKilled, SIGKILL); });
-    at(2000, [&fleet, silent] { fleet.SetStore(silent); });
+    at(2000, [&fleet, silent] { fleet.SetStoreFaults(silent); });
     at(3000, [&] { fleet.Signal(kPaused, SIGCONT); });
-    at(3500, [&] { fleet.SetStore({}); });
-    at(4500, [&fleet, lossy] { fleet.SetStore(lossy); });
+    at(3500, [&] { fleet.SetStoreFaults({}); });
+    at(4500, [&fleet, lossy] { fleet.SetStoreFaults(lossy); });
     at(5000, [&] { fleet.Signal(kStopped, SIGTERM); });
-    at(6000, [&fleet, outage] { fleet.SetStore(outage); });
-    at(6500, [&] { fleet.SetStore({}); });
+    at(6000, [&fleet, outage] { fleet.SetStoreFaults(outage); });
+    at(6500, [&] { fleet.SetStoreFaults({}); });
     at(7000, [&] { config.Begin(); });
   } else {
     at(1000, [&] { config.Begin(); });
@@ -167,14 +176,14 @@
   for (const char* b : {"nilelight", "arvoredo"}) {
     PrintSummary(std::string("  ") + b, Summarize(p.results, b), p.seconds);
   }
-  // Cut by anything but the kill: a planned stop, a pause or a store fault
-  // must cut nothing.
+  // Connections that instances other than the killed one ended without an
+  // answer: a planned stop, a pause or a store fault must not cause any.
   const int killed_port =
       FLAGS_faults ? QUrl(fleet.urls()[kKilled]).port() : -1;
   int cut = 0;
   for (const LoadResult& r : p.results) {
     cut += static_cast<int>(std::ranges::count_if(
-        r.cut_at, [&](int port) { return port != killed_port; }));
+        r.cut_ports, [&](int port) { return port != killed_port; }));
   }
   const http::HttpAnswer health =
       http::HttpCall(network, "GET", fleet.urls().back() + "/healthz");
--- a/tools/turmericctl/load_command.cc
+++ b/tools/turmericctl/load_command.cc
@@ -25,7 +25,7 @@
 DEFINE_string(scenario, "overhead",
               "load scenario: overhead | faults | routing | fleet | slopes");
 DEFINE_int32(requests, 2000, "logical requests per phase (bounded)");
-DEFINE_int32(concurrency, 16, "requests open at once");
+DEFINE_int32(concurrency, 16, "requests in flight at once");
 DEFINE_int32(max_tokens, 4, "tokens per generation");
 DEFINE_int32(instances, 3, "entry instances for the faults scenario");
 DEFINE_string(report, "", "write the figures as JSON to this file");
@@ -36,8 +36,8 @@
 namespace {
 
 int Overhead(gateway::EmbeddedStack& stack) {
-  // The direct baseline spreads over the same three engines the gateway's
-  // "generate" pipeline routes to, in turn, at the same concurrency.
+  // The direct calls go in turn to the three engines that the "generate"
+  // pipeline of the gateway uses, at the same concurrency.
   constexpr int kEngines = 3;
   auto engine = [&](int i) {
     return "http://127.0.0.1:" +
@@ -65,14 +65,14 @@
                        nonce,
                        "nilelight"};
   };
-  const int per_engine = std::clamp(FLAGS_concurrency, 1, 256);
+  const int max_in_flight = std::clamp(FLAGS_concurrency, 1, 256);
   QJsonArray rounds;
-  bool clean = true;
+  bool no_misdelivery = true;
   std::printf("scenario=overhead requests=%d concurrency=%d max_tokens=%d\n", n,
               FLAGS_concurrency, FLAGS_max_tokens);
   for (int round = 0; round < 2; ++round) {
-    Phase d = RunPhase(n, per_engine, 0, direct);
-    Phase g = RunPhase(n, per_engine, 0, via_gateway);
+    Phase d = RunPhase(n, max_in_flight, 0, direct);
+    Phase g = RunPhase(n, max_in_flight, 0, via_gateway);
     PrintSummary("direct engine r" + std::to_string(round), d.summary,
                  d.seconds);
     PrintSummary("gateway generate r" + std::to_string(round), g.summary,
@@ -84,7 +84,8 @@
         g.summary.p50_ms / d.summary.p50_ms,
         g.summary.p99_ms / d.summary.p99_ms,
         g.summary.p50_ms - d.summary.p50_ms, cpu_per_req_us);
-    clean = clean && g.summary.misdelivered == 0 && d.summary.misdelivered == 0;
+    no_misdelivery = no_misdelivery && g.summary.misdelivered == 0 &&
+                     d.summary.misdelivered == 0;
     rounds.append(
         QJsonObject{{"direct", SummaryJson(d.summary)},
                     {"gateway", SummaryJson(g.summary)},
@@ -95,7 +96,7 @@
                     {"gateway_rps", g.summary.count / g.seconds}});
   }
   WriteReport({{"scenario", "overhead"}, {"rounds", rounds}});
-  return clean ? 0 : 1;
+  return no_misdelivery ? 0 : 1;
 }
 
 }  // namespace
--- a/tools/turmericctl/load_command.h
+++ b/tools/turmericctl/load_command.h
@@ -5,12 +5,13 @@
 namespace turmeric::ctl {
 
 /**
- * `turmericctl load`: the load and experiment tool. With no --target it
- * starts the embedded platform and entry instances in this process.
- * Scenarios: "overhead" (gateway vs direct engine calls, same run) and
- * "faults" (bursts, store outage with lost answers, a leaving upstream and
- * a killed instance, against the baseline policy in the same run).
- * @return 0 if every invariant held, 1 otherwise.
+ * `turmericctl load`: runs the load scenario that --scenario selects.
+ * "overhead" compares gateway and direct engine calls, "faults" and "routing"
+ * compare policies with a baseline under faults; these three run the platform
+ * and the instances in this process. "fleet" and "slopes" use the instances
+ * that --targets and --pids name.
+ * @return process exit code: 0 if every invariant held, 1 if not, 2 if the
+ *     scenario is unknown or cannot start.
  */
 int RunLoadCommand();
 
--- a/tools/turmericctl/load_phase.h
+++ b/tools/turmericctl/load_phase.h
@@ -8,16 +8,16 @@
 
 namespace turmeric::ctl {
 
-/** Each request's deadline in the load scenarios, ms. */
+/** Deadline of each request in the load scenarios. */
 inline constexpr int kDeadlineMs = 2000;
-/** Hard stop for one phase, ms. */
+/** Time after which a phase ends even if requests are in flight. */
 inline constexpr int kTimeCapMs = 120000;
 
-/** One closed-loop phase's results and cost. */
+/** Results and cost of one phase of closed-loop load. */
 struct Phase {
   LoadSummary summary;
   double seconds = 0;      ///< Wall time.
-  double cpu_seconds = 0;  ///< CPU of this whole process during the phase.
+  double cpu_seconds = 0;  ///< CPU time of this whole process in the phase.
   std::vector<LoadResult> results;
 };
 
@@ -26,18 +26,21 @@
 
 /**
  * Runs one phase to completion.
- * @param total logical requests. @param concurrency open at once.
- * @param max_retries caller retries. @param make request maker.
- * @return the phase.
+ * @param total number of logical requests.
+ * @param concurrency logical requests in flight at once.
+ * @param max_retries of the caller per request.
+ * @param make makes each attempt of each request.
  */
 Phase RunPhase(int total, int concurrency, int max_retries, RequestMaker make);
 
-/** @param s summary. @return it as JSON. */
+/** @return the summary as JSON. */
 QJsonObject SummaryJson(const LoadSummary& s);
 
 /**
- * Prints one line for a summary.
- * @param label row label. @param s summary. @param seconds wall time.
+ * Prints a summary as one line.
+ * @param label at the start of the line.
+ * @param s the summary.
+ * @param seconds wall time of the phase.
  */
 void PrintSummary(const std::string& label, const LoadSummary& s,
                   double seconds);
--- a/tools/turmericctl/load_runner.cc
+++ b/tools/turmericctl/load_runner.cc
@@ -12,7 +12,8 @@
 
 namespace turmeric::ctl {
 
-struct LoadRunner::Open {
+/** A logical request in flight. */
+struct LoadRunner::OpenRequest {
   int index = 0;
   int attempt = 0;
   std::chrono::steady_clock::time_point first_sent;
@@ -45,21 +46,22 @@
 }
 
 void LoadRunner::StartNext() {
-  auto open = std::make_shared<Open>();
+  auto open = std::make_shared<OpenRequest>();
   open->index = started_++;
   open->first_sent = std::chrono::steady_clock::now();
   results_.emplace_back();
   Send(open);
 }
 
-void LoadRunner::Send(std::shared_ptr<Open> open) {
+void LoadRunner::Send(std::shared_ptr<OpenRequest> open) {
   const LoadRequest req = make_(open->index, open->attempt);
   QNetworkRequest request{QUrl(req.url)};
   request.setHeader(QNetworkRequest::ContentTypeHeader, "application/json");
   for (const auto& [k, v] : req.headers) request.setRawHeader(k, v);
   request.setTransferTimeout(deadline_ms_ + 2000);
   QNetworkAccessManager& network = *networks_[open->index % networks_.size()];
-  // Qt would send a cut request again by itself and hide the cut.
+  // An unbuffered body keeps Qt from retrying a request by itself after the
+  // connection was closed, which would hide the lost connection.
   request.setHeader(QNetworkRequest::ContentLengthHeader, req.body.size());
   request.setAttribute(QNetworkRequest::DoNotBufferUploadDataAttribute, true);
   auto* body = new http::OneShotBody(req.body, nullptr);
@@ -77,7 +79,7 @@
     r.status =
         reply->attribute(QNetworkRequest::HttpStatusCodeAttribute).toInt();
     QByteArray body = reply->readAll();
-    // A streamed answer ends with the whole answer as its last event.
+    // The last event of a streamed answer contains the whole answer.
     if (body.startsWith("data:")) {
       const qsizetype last = body.lastIndexOf("data:");
       body = body.mid(last + 5).trimmed();
@@ -85,30 +87,32 @@
     const QJsonObject o = QJsonDocument::fromJson(body).object();
     r.error = o.value("error").toString().toStdString();
     r.state = o.value("state").toString().toStdString();
-    if (o.contains("text")) r.state = "ran";  // direct engine answers
+    // An engine that is called directly answers with "text".
+    if (o.contains("text")) r.state = "ran";
     const std::string output =
         (o.contains("text") ? o.value("text") : o.value("output"))
             .toString()
             .toStdString();
-    // Exact delivery, checked at the caller: the answer must carry this
-    // request's nonce and no other request's.
+    // The answer must contain the nonce of this request and no other nonce.
     const bool has_own = output.find(req.nonce) != std::string::npos;
-    size_t foreign = 0;
+    size_t foreign_nonces = 0;
     for (size_t p = output.find("#n"); p != std::string::npos;
          p = output.find("#n", p + 2)) {
       const size_t end = output.find_first_of(" )", p);
-      if (output.substr(p, end - p) != req.nonce) ++foreign;
+      if (output.substr(p, end - p) != req.nonce) ++foreign_nonces;
     }
-    r.misdelivered = r.state == "ran" && (!has_own || foreign > 0);
-    r.whole_in_time = r.state == "ran" && !r.misdelivered && ms <= deadline_ms_;
+    r.misdelivered = r.state == "ran" && (!has_own || foreign_nonces > 0);
+    r.complete_in_time =
+        r.state == "ran" && !r.misdelivered && ms <= deadline_ms_;
     const bool transport = r.status == 0;
     const auto error = reply->error();
     if (transport && error != QNetworkReply::ConnectionRefusedError &&
         error != QNetworkReply::OperationCanceledError) {
-      r.cut_at.push_back(QUrl(req.url).port());
+      r.cut_ports.push_back(QUrl(req.url).port());
     }
-    // As a caller would: resend what did not run, and an unknown outcome
-    // under the same idempotency key, after the wait the answer asked for.
+    // Retries a request that did not run or whose outcome is unknown, the
+    // latter under the same idempotency key, after the delay that the answer
+    // states.
     const int after_ms = o.value("retry_after_ms").toInt(transport ? 0 : -1);
     const bool retryable = after_ms >= 0 && r.state != "ran";
     if (retryable && open->attempt < max_retries_ &&
@@ -133,7 +137,7 @@
   for (const LoadResult& r : results) {
     if (!business.empty() && r.business != business) continue;
     ++s.count;
-    s.whole_in_time += r.whole_in_time;
+    s.complete_in_time += r.complete_in_time;
     s.misdelivered += r.misdelivered;
     if (r.state == "ran") {
       ++s.ran;
--- a/tools/turmericctl/load_runner.h
+++ b/tools/turmericctl/load_runner.h
@@ -16,60 +16,62 @@
 
 namespace turmeric::ctl {
 
-/** One request the load tool sends (or re-sends, as a caller would). */
+/** One attempt of a logical request. */
 struct LoadRequest {
   QString url;
   QByteArray body;
   QList<QPair<QByteArray, QByteArray>> headers;
-  std::string nonce;  ///< Unique word in the input; the answer must echo it.
+  std::string nonce;  ///< Unique word in the input; the answer must contain it.
   std::string business;
 };
 
-/** What became of one logical request after the caller's retries. */
+/** Outcome of one logical request after the retries of the caller. */
 struct LoadResult {
   std::string business;
-  double latency_ms = 0;  ///< From first send to final answer.
+  double latency_ms = 0;  ///< From the first send to the final answer.
   int status = 0;         ///< HTTP status of the final answer; 0: none.
-  std::string state;      ///< "ran", "not_run", "failed", "unknown", "" .
-  std::string error;      ///< Result code's name in the final answer.
-  bool whole_in_time = false;
-  bool misdelivered = false;  ///< Answer carried another request's nonce.
+  std::string state;      ///< "ran", "not_run", "failed", "unknown" or "".
+  std::string error;      ///< Name of the result code in the final answer.
+  bool complete_in_time = false;  ///< Complete answer within the deadline.
+  bool misdelivered = false;      ///< Own nonce missing or foreign nonce found.
   int attempts = 0;
-  /** Ports whose connection ended without an answer after sending. */
-  std::vector<int> cut_at;
+  /** Ports of instances that ended the connection without an answer, once per
+   * attempt. */
+  std::vector<int> cut_ports;
 };
 
 /** Makes attempt `attempt` (0-based) of logical request `index`. */
 using RequestMaker = std::function<LoadRequest(int index, int attempt)>;
 
 /**
- * Closed-loop load: keeps `concurrency` logical requests open until `total`
- * are done or `time_cap_ms` passes. A caller retry follows a transport error
- * or a "not_run" answer, up to `max_retries`, inside the deadline.
+ * Closed-loop load: keeps `concurrency` logical requests in flight until
+ * `total` are done or `time_cap_ms` has elapsed. Within the deadline, retries a
+ * request up to `max_retries` times after a transport error or after an answer
+ * with a `retry_after_ms` whose state is not "ran".
  */
 class LoadRunner : public QObject {
  public:
   /**
-   * @param concurrency requests open at once.
-   * @param total logical requests.
-   * @param deadline_ms each request's deadline.
-   * @param max_retries caller retries per request.
-   * @param make request maker.
+   * @param concurrency logical requests in flight at once.
+   * @param total number of logical requests.
+   * @param deadline_ms deadline of each logical request.
+   * @param max_retries of the caller per logical request.
+   * @param make makes each attempt of each request.
    */
   LoadRunner(int concurrency, int total, int deadline_ms, int max_retries,
              RequestMaker make);
   ~LoadRunner() override;
   /**
-   * Runs to completion in a local event loop.
-   * @param time_cap_ms hard stop.
-   * @return one result per logical request started.
+   * Runs the load in a local event loop.
+   * @param time_cap_ms time after which the run is ended.
+   * @return one result per started logical request.
    */
   std::vector<LoadResult> Run(int time_cap_ms);
 
  private:
-  struct Open;
+  struct OpenRequest;
   void StartNext();
-  void Send(std::shared_ptr<Open> open);
+  void Send(std::shared_ptr<OpenRequest> open);
 
   int concurrency_;
   int total_;
@@ -83,25 +85,22 @@
   std::function<void()> on_all_done_;
 };
 
-/** Summary of results, per business or over all. */
+/** Summary of the results of one business or of all. */
 struct LoadSummary {
   int count = 0;
-  int whole_in_time = 0;
+  int complete_in_time = 0;
   int ran = 0, not_run = 0, failed = 0, unknown = 0, no_answer = 0;
   int misdelivered = 0;
-  std::map<std::string, int> errors;  ///< Final answers but "ran", by code.
+  std::map<std::string, int> errors;  ///< By result code, state not "ran".
   double p50_ms = 0, p99_ms = 0;
-  /** @return share answered whole within deadline. */
+  /** @return fraction with a complete answer within the deadline. */
   double attainment() const {
-    return count ? static_cast<double>(whole_in_time) / count : 0;
+    return count ? static_cast<double>(complete_in_time) / count : 0;
   }
 };
 
-/**
- * @param results load results.
- * @param business only this business; empty: all.
- * @return the summary.
- */
+/** @param results to be summarized. @param business only results of this
+ * business; empty: all. @return the summary. */
 LoadSummary Summarize(const std::vector<LoadResult>& results,
                       const std::string& business);
 
--- a/tools/turmericctl/main.cc
+++ b/tools/turmericctl/main.cc
@@ -1,4 +1,4 @@
-// turmericctl: the operator's and caller's client, and the load tool.
+// turmericctl: client for operators and callers, and load tool.
 #include <easylogging++.h>
 #include <gflags/gflags.h>
 
@@ -14,7 +14,8 @@
 
 DEFINE_string(target, "http://127.0.0.1:8080", "base URL of an entry instance");
 DEFINE_string(file, "", "settings text for config set/diff; - or empty: stdin");
-DEFINE_int64(if_version, -1, "config set: version you read (0 creates)");
+DEFINE_int64(if_version, -1,
+             "config set: version that is replaced (0 creates)");
 DEFINE_string(business, "nilelight", "run: business");
 DEFINE_string(pipeline, "translate-notice", "run: pipeline");
 DEFINE_string(organisation, "nile-hotels", "run: organisation");
--- a/tools/turmericctl/report.h
+++ b/tools/turmericctl/report.h
@@ -6,13 +6,13 @@
 
 namespace turmeric::ctl {
 
-/** Writes the figures to --report, if set. @param figures as JSON. */
+/** Writes the figures as JSON to the file --report, if set. */
 void WriteReport(const QJsonObject& figures);
 
 /**
- * @param text a Prometheus text exposition.
- * @param prefix start of the series, name and first labels.
- * @return the sum of all matching series.
+ * @param text metrics in the Prometheus text format.
+ * @param prefix start of the series: name and first labels.
+ * @return sum of the values of all matching series.
  */
 double MetricSum(std::string_view text, std::string_view prefix);
 
--- a/tools/turmericctl/routing_scenario.cc
+++ b/tools/turmericctl/routing_scenario.cc
@@ -1,5 +1,5 @@
-// `turmericctl load --scenario=routing`: routing policies and hedging against
-// the round-robin baseline, with slow, dead or stalling upstreams.
+// `turmericctl load --scenario=routing`: compares routing policies and hedging
+// with the round-robin baseline, with slow, dead or stalling upstreams.
 #include <gflags/gflags.h>
 
 #include <QJsonArray>
@@ -23,7 +23,7 @@
 
 namespace {
 
-/** One way of choosing upstreams, measured in its own phase. */
+/** A routing policy, measured in a phase of its own. */
 struct Variant {
   const char* label;
   const char* routing;
@@ -38,32 +38,34 @@
     {"p2c_ewma + hedge 10%", "p2c_ewma", 10},
 };
 
-/** A request's deadline here: a few times its time without faults, ms. */
+/** Deadline of a request; a few times its latency without faults. */
 constexpr int kRoutingDeadlineMs = 100;
 
-/** What is wrong with the upstreams while a variant is measured. */
-enum class Trouble {
-  kSlowAndDead,  ///< One retriever 20 times slower, one reranker dead.
+/** Faults of the upstreams while a variant is measured. */
+enum class UpstreamFaults {
+  kSlowAndDead,  ///< One retriever is 20 times slower, one reranker dead.
   kStalls,       ///< Every service stalls on 3 calls in 100.
 };
 
-void Inflict(Trouble trouble, const gateway::EmbeddedPlatform& platform) {
-  // Nilelight's stand-ins: 3 panel services, 2 encoders, then these.
+void ApplyFaults(UpstreamFaults faults,
+                 const gateway::EmbeddedPlatform& platform) {
+  // Indexes into services(): 3 panel services and 2 encoders of the business
+  // nilelight come first.
   constexpr int kRetriever = 5;
   constexpr int kReranker = 7;
   const auto& services = platform.services();
-  switch (trouble) {
-    case Trouble::kSlowAndDead:
+  switch (faults) {
+    case UpstreamFaults::kSlowAndDead:
       services[kRetriever]->SetFaults({.slow_factor = 20});
       services[kReranker]->Die();
       break;
-    case Trouble::kStalls:
+    case UpstreamFaults::kStalls:
       for (const auto& s : services) s->SetFaults({.stall_rate = 0.03});
       break;
   }
 }
 
-QJsonObject RunVariant(const Variant& variant, Trouble trouble) {
+QJsonObject RunVariant(const Variant& variant, UpstreamFaults faults) {
   gateway::EmbeddedStack stack;
   if (!stack.Start(1)) return {{"error", "cannot start"}};
   (void)stack.store->Put(
@@ -73,7 +75,7 @@
           "\nhedge_percent = " + std::to_string(variant.hedge_percent) +
           "\nretry_budget_percent = 10\nmin_stage_ms = 1\n",
       store::kAnyVersion);
-  Inflict(trouble, *stack.embedded);
+  ApplyFaults(faults, *stack.embedded);
   auto make = [&](int i, int) {
     const std::string nonce = "#n" + std::to_string(i);
     QJsonObject body{{"organisation", "nile-hotels"},
@@ -96,7 +98,7 @@
   const double calls = MetricSum(text, "turmeric_stage_calls_total");
   int in_time = 0;
   for (const LoadResult& r : p.results) {
-    in_time += r.whole_in_time && r.latency_ms <= kRoutingDeadlineMs;
+    in_time += r.complete_in_time && r.latency_ms <= kRoutingDeadlineMs;
   }
   const double attainment = 100.0 * in_time / total;
   std::printf(
@@ -118,12 +120,12 @@
   std::printf("scenario=routing requests=%d concurrency=%d deadline=%dms\n",
               FLAGS_requests, FLAGS_concurrency, kRoutingDeadlineMs);
   QJsonObject report{{"scenario", "routing"}};
-  for (const auto& [name, trouble] :
-       {std::pair{"slow_and_dead", Trouble::kSlowAndDead},
-        std::pair{"stalls", Trouble::kStalls}}) {
+  for (const auto& [name, faults] :
+       {std::pair{"slow_and_dead", UpstreamFaults::kSlowAndDead},
+        std::pair{"stalls", UpstreamFaults::kStalls}}) {
     std::printf("== %s\n", name);
     QJsonArray variants;
-    for (const Variant& v : kVariants) variants.append(RunVariant(v, trouble));
+    for (const Variant& v : kVariants) variants.append(RunVariant(v, faults));
     report[name] = variants;
   }
   WriteReport(report);
--- a/tools/turmericctl/slopes_scenario.cc
+++ b/tools/turmericctl/slopes_scenario.cc
@@ -1,6 +1,7 @@
-// `turmericctl load --scenario=slopes` (through scripts/fleet.sh): processor
-// time of one entry instance per request, per stage and per streamed token,
-// read from the instance's own /metrics. For docs/CAPACITY.md.
+// `turmericctl load --scenario=slopes`, run by scripts/fleet.sh: CPU time of
+// one instance per request, for requests that differ in stages and streamed
+// tokens. Read from /metrics of the instance; the figures are for
+// docs/CAPACITY.md.
 #include <gflags/gflags.h>
 
 #include <QJsonArray>
@@ -21,7 +22,7 @@
 
 namespace {
 
-/** One kind of request whose cost is measured. */
+/** Kind of request whose cost is measured. */
 struct SlopeCase {
   const char* label;
   const char* pipeline;
@@ -61,7 +62,7 @@
                        QJsonDocument(body).toJson(QJsonDocument::Compact),
                        headers, nonce, "nilelight"};
   };
-  // Streams last long; fewer of them make the same number of tokens.
+  // Streams take longer and send more tokens each, so fewer are measured.
   constexpr int kStreamShare = 4;
   const int total =
       std::clamp(FLAGS_requests / (c.stream ? kStreamShare : 1), 50, 5000);
--- a/tools/turmericctl/traffic_mix.h
+++ b/tools/turmericctl/traffic_mix.h
@@ -16,21 +16,25 @@
   bool idempotent;
 };
 
-/** @return the mix: each business repeatable and non-idempotent work. */
+/** @return the mix, with idempotent and non-idempotent requests of each
+ * business. */
 std::span<const Flow> TrafficMix();
 
-/** @param index a logical request. @return its flow. */
+/** @param index of a logical request. @return its flow. */
 const Flow& FlowOf(int index);
 
 /**
- * @param base_url an instance. @param run which run of the tool's.
- * @param index the logical request. @return its HTTP request.
+ * @param base_url of an instance.
+ * @param run index of the run; keeps idempotency keys of runs apart.
+ * @param index of the logical request.
+ * @return HTTP request for it.
  */
 LoadRequest MixRequest(const QString& base_url, int run, int index);
 
 /**
- * @param run which run. @param index the logical request.
- * @return the key under which upstreams see its non-idempotent calls.
+ * @param run index of the run.
+ * @param index of the logical request.
+ * @return key that upstreams receive with its non-idempotent calls.
  */
 std::string MixKey(int run, int index);
 
--- a/tools/turmericctl/verdict.cc
+++ b/tools/turmericctl/verdict.cc
@@ -25,7 +25,7 @@
     for (const auto& s : platform.services()) {
       executions += s->executions(MixKey(run, i));
     }
-    v.doubled += executions > 1;  // also across two services
+    v.doubled += executions > 1;  // including executions at two services
     v.not_run_but_ran += r.state == "not_run" && executions > 0;
     v.ran_but_not_run += r.state == "ran" && executions == 0;
   }
--- a/tools/turmericctl/verdict.h
+++ b/tools/turmericctl/verdict.h
@@ -11,17 +11,17 @@
 }
 namespace turmeric::ctl {
 
-/** What the check of the promises found in one run; all must be 0 but the
- * refusals. */
+/** Counts of violated delivery guarantees in one run; all must be 0 except
+ * leaving_refusals. */
 struct Verdict {
   int64_t doubled = 0;           ///< Non-idempotent keys executed twice.
-  int64_t not_run_but_ran = 0;   ///< Told "not run" yet executed.
-  int64_t ran_but_not_run = 0;   ///< Told "ran" yet never executed.
-  int64_t misdelivered = 0;      ///< Caller got another request's answer.
+  int64_t not_run_but_ran = 0;   ///< Answered "not_run", but executed.
+  int64_t ran_but_not_run = 0;   ///< Answered "ran", but never executed.
+  int64_t misdelivered = 0;      ///< Answer with the nonce of another request.
   int64_t leaving_refusals = 0;  ///< Calls refused by a leaving upstream.
-  int64_t sent_to_leaving = 0;   ///< Calls sent after the list said leaving.
+  int64_t sent_to_leaving = 0;  ///< Calls sent after the list showed "leaving".
 
-  /** @return true if every promise held. */
+  /** @return true if no guarantee was violated. */
   bool held() const {
     return doubled + not_run_but_ran + ran_but_not_run + misdelivered +
                sent_to_leaving ==
@@ -30,18 +30,19 @@
 };
 
 /**
- * Compares what callers were told with what the stand-ins executed.
- * @param results of the traffic mix. @param run its number.
- * @param platform the stand-ins.
- * @return the verdict; sent_to_leaving is the scenario's to count.
+ * Compares the answers to callers with the executions of the stand-ins.
+ * @param results of the traffic mix.
+ * @param run index of the run.
+ * @param platform with the stand-ins.
+ * @return the verdict; sent_to_leaving is left to the scenario.
  */
 Verdict CheckDelivery(const std::vector<LoadResult>& results, int run,
                       const gateway::EmbeddedPlatform& platform);
 
-/** @param v printed on one line. */
+/** Prints the verdict as one line. */
 void PrintVerdict(const Verdict& v);
 
-/** @param v a verdict. @return it as JSON. */
+/** @return the verdict as JSON. */
 QJsonObject VerdictJson(const Verdict& v);
 
 }  // namespace turmeric::ctl
