--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -40,20 +40,20 @@
   return engines;
 }
 
-ColdLimiter GuardOf(int64_t instances) {
-  ColdLimiter guard({}, "entry-0");
+ColdLimiter LimiterOf(int64_t instances) {
+  ColdLimiter limiter({}, "entry-0");
   std::set<std::string, std::less<>> others;
   for (int64_t i = 1; i < instances; ++i) {
     others.insert("entry-" + std::to_string(i));
   }
-  guard.set_other_instances(std::move(others));
-  return guard;
+  limiter.set_other_instances(std::move(others));
+  return limiter;
 }
 
 /** The owner of a cell places a prompt: the cell's engines, the choice. */
 void BM_PlaceAsOwner(benchmark::State& state) {
   const auto engines = Engines(state.range(0), state.range(1) != 0);
-  ColdLimiter guard = GuardOf(300);
+  ColdLimiter limiter = LimiterOf(300);
   ServiceSpec spec;
   spec.cold_per_s = 8.4;
   PromptMemory memory;
@@ -73,7 +73,7 @@
     choice.session_ms = 80;
     choice.memory = &memory;
     const auto now = Clock::now();
-    choice.admits = guard.AdmitsAsOwner(&spec, name, now);
+    choice.admits = limiter.AdmitsAsOwner(&spec, name, now);
     const UpstreamPtr engine = ChooseUpstream(own, choice, now);
     if (!engine) continue;
     memory.Note(engine->entry.id, "shared", 2500, 200000);
@@ -88,14 +88,14 @@
  * which it may use a dealt share of. */
 void BM_PlaceAlone(benchmark::State& state) {
   const auto engines = Engines(140, false);
-  const ColdLimiter guard = GuardOf(state.range(0));
+  const ColdLimiter limiter = LimiterOf(state.range(0));
   ServiceSpec spec;
   spec.cold_per_s = 8.4;
   for (auto _ : state) {
     ChoiceRequest choice;
     choice.has_prompt = true;
     const auto now = Clock::now();
-    choice.admits = guard.AdmitsAsNonOwner(&spec, now);
+    choice.admits = limiter.AdmitsAsNonOwner(&spec, now);
     benchmark::DoNotOptimize(ChooseUpstream(engines, choice, now));
   }
 }
--- a/libs/entry/include/turmeric/entry/cold_limiter.h
+++ b/libs/entry/include/turmeric/entry/cold_limiter.h
@@ -36,7 +36,7 @@
    * @param spec a service, or nullptr.
    * @return true if the arrivals at its upstreams are limited.
    */
-  bool IsLimited(const routing::ServiceSpec* spec) const {
+  bool Limits(const routing::ServiceSpec* spec) const {
     return ArrivalBoundOf(spec).has_value();
   }
   /** @param enabled false: no service is limited. */
--- a/libs/entry/include/turmeric/entry/entry_context.h
+++ b/libs/entry/include/turmeric/entry/entry_context.h
@@ -33,8 +33,8 @@
         retries(
             {settings.retry_ratio, settings.retry_slack, settings.retry_window},
             settings.first_start),
-        cold({settings.cold_over, settings.cold_slack}, settings.name) {
-    cold.set_enabled(Uses(config::Mechanism::kColdLimit));
+        cold_limiter({settings.cold_over, settings.cold_slack}, settings.name) {
+    cold_limiter.set_enabled(Uses(config::Mechanism::kColdLimit));
     if (!Uses(config::Mechanism::kRepeats)) retries.set_limits({});
   }
 
@@ -74,13 +74,14 @@
   bool store_unreachable = false;  ///< Calls to the store fail.
   UpstreamClient client;
   RetryBudgets retries;
-  ColdLimiter cold;
+  ColdLimiter cold_limiter;
   stages::StageTimes stage_times;
   stages::EngineTimes engine_times;
   UsualDeadlines usual_deadlines;
   /** Exchanges store revisions with the other instances. */
   RevisionGossip revision_gossip;
-  BacklogReports backlogs;  ///< Queue lengths reported by other instances.
+  /** Queue lengths reported by other instances. */
+  BacklogReports backlog_reports;
   /** Start of the planned stop; nullopt: no stop has begun. */
   std::optional<routing::Clock::time_point> stopping_since;
   /** @return the schedule of the planned stop; nullopt: none has begun. */
--- a/libs/entry/include/turmeric/entry/entry_service.h
+++ b/libs/entry/include/turmeric/entry/entry_service.h
@@ -84,9 +84,9 @@
   std::unique_ptr<RequestQuarantine> quarantine_;
   std::unique_ptr<StageDispatcher> dispatcher_;
   std::unique_ptr<StageRouter> router_;
-  std::unique_ptr<PlacementCoordinator> desk_;
+  std::unique_ptr<PlacementCoordinator> placement_coordinator_;
   std::unique_ptr<EnginePlacer> placer_;
-  std::unique_ptr<PeerServer> host_;
+  std::unique_ptr<PeerServer> peer_server_;
   std::unique_ptr<InstanceDirectory> directory_;
   std::unique_ptr<TopologyFeed> feed_;
   std::unique_ptr<StoreSharing> sharing_;
--- a/libs/entry/include/turmeric/entry/instance_links.h
+++ b/libs/entry/include/turmeric/entry/instance_links.h
@@ -120,7 +120,7 @@
      * Last time at which a key was looked up that the instance would own if it
      * were reachable.
      */
-    Clock::time_point wanted_at;
+    Clock::time_point last_needed;
   };
 
   peer::PeerLink& Connect(const std::string& name, Instance& instance);
--- a/libs/entry/include/turmeric/entry/peer_server.h
+++ b/libs/entry/include/turmeric/entry/peer_server.h
@@ -42,11 +42,12 @@
    * The referenced objects must outlive this.
    * @param local dispatcher of this instance.
    * @param coordinator places requests on the cells that this instance owns.
-   * @param news latest store revisions, exchanged with the other instances.
+   * @param revision_gossip latest store revisions, exchanged with the other
+   *     instances.
    * @param on_presence see PresenceCallback.
    */
   PeerServer(StageDispatcher& local, PlacementCoordinator& coordinator,
-             RevisionGossip& news, PresenceCallback on_presence);
+             RevisionGossip& revision_gossip, PresenceCallback on_presence);
   ~PeerServer() override;
 
   /**
@@ -109,7 +110,7 @@
 
   StageDispatcher& local_;
   PlacementCoordinator& coordinator_;
-  RevisionGossip& news_;
+  RevisionGossip& revision_gossip_;
   PresenceCallback on_presence_;
   FollowCallback on_follow_;
   std::function<void(peer::Frame&)> on_new_peer_;
--- a/libs/entry/include/turmeric/entry/piece_call.h
+++ b/libs/entry/include/turmeric/entry/piece_call.h
@@ -37,7 +37,7 @@
    * Called when the upstream is assumed to have fetched the inputs of the
    * pieces.
    */
-  std::function<void(PieceCall&)> on_inputs_taken;
+  std::function<void(PieceCall&)> on_inputs_fetched;
   /** Called with one result for each piece, in the order of the pieces. */
   std::function<void(PieceCall&, std::span<const stages::PieceResult>)> on_done;
   /** Called when the call as a whole has failed. */
--- a/libs/entry/include/turmeric/entry/placement_coordinator.h
+++ b/libs/entry/include/turmeric/entry/placement_coordinator.h
@@ -68,7 +68,7 @@
 
   EntryContext& context_;
   /** By identity, see Place. */
-  std::map<std::string, routing::PlacementTracker> books_;
+  std::map<std::string, routing::PlacementTracker> trackers_;
 };
 
 }  // namespace turmeric::entry
--- a/libs/entry/include/turmeric/entry/request_run.h
+++ b/libs/entry/include/turmeric/entry/request_run.h
@@ -67,7 +67,7 @@
   void OnStageFailed(stages::PieceFailure failure);
   // Sending to an upstream.
   void SendToUpstream();
-  UpstreamCriteria MakeWantedUpstream(std::string_view results_zone) const;
+  UpstreamCriteria MakeUpstreamCriteria(std::string_view results_zone) const;
   /** Schedules another choice of an upstream if all untried ones have received
    * as many requests as they could serve when cold (shortly after a start).
    * @return false if there is no such upstream or no wait is left. */
@@ -152,7 +152,7 @@
   int64_t stages_done_ms_ = -1;
   int64_t first_byte_ms_ = -1;
 
-  StreamForwarder relay_;
+  StreamForwarder forwarder_;
   bool finished_ = false;
 };
 
--- a/libs/entry/include/turmeric/entry/retry_budgets.h
+++ b/libs/entry/include/turmeric/entry/retry_budgets.h
@@ -52,7 +52,7 @@
   /** @param now current time. @return this instance's share of the slack, in
    * retries. */
   double SlackShare(routing::Clock::time_point now) const {
-    if (const auto parts = fleet_.Divisor(now)) return limits_.slack / *parts;
+    if (const auto shares = fleet_.Divisor(now)) return limits_.slack / *shares;
     // The fleet size is not settled: a share for one retry at a time, provided
     // that the slack suffices for twice the number of instances.
     const auto fleet = fleet_.SettledSize(now);
--- a/libs/entry/include/turmeric/entry/stage_dispatcher.h
+++ b/libs/entry/include/turmeric/entry/stage_dispatcher.h
@@ -99,7 +99,7 @@
   void OnCallBroken(PieceCall& call);
   void Retry(const std::string& shard, std::vector<stages::QueuedPiece> pieces,
              bool known_not_run);
-  void OnInputsTaken(PieceCall& call) const;
+  void OnInputsFetched(PieceCall& call) const;
   void OnReleased(const std::string& shard,
                   const std::vector<std::string>& handles);
 
--- a/libs/entry/include/turmeric/entry/stage_router.h
+++ b/libs/entry/include/turmeric/entry/stage_router.h
@@ -42,10 +42,10 @@
   /**
    * Called when the connection to an instance has ended.
    * @param name name of the instance.
-   * @param reconnected true if only the connection was reset, which leaves the
+   * @param was_reset true if only the connection was reset, which leaves the
    *     pieces queued at the instance; see InstanceLinks::Events.
    */
-  void OnInstanceLost(const std::string& name, bool reconnected);
+  void OnInstanceLost(const std::string& name, bool was_reset);
 
   uint64_t Submit(const std::string& service, stages::Piece piece,
                   stages::PieceEvents events) override;
@@ -63,7 +63,7 @@
                        const stages::ShardPreference& wish) const;
   bool MoveToOtherShard(uint64_t ticket);
   void Dispatch(uint64_t ticket);
-  void OnInputsTaken(uint64_t ticket);
+  void OnInputsFetched(uint64_t ticket);
   void OnDone(uint64_t ticket, const stages::PieceResult& result);
 
   EntryContext& context_;
--- a/libs/entry/include/turmeric/entry/stage_run.h
+++ b/libs/entry/include/turmeric/entry/stage_run.h
@@ -30,8 +30,8 @@
 struct StagePlan {
   const CallerRequest& request;
   const routing::Route& route;
-  std::string work;  ///< Fingerprint of the request.
-  int rank = 0;      ///< Urgency class of the pieces, 0 first.
+  std::string fingerprint;  ///< Fingerprint of the request.
+  int rank = 0;             ///< Urgency class of the pieces, 0 first.
   /** When the response is due by the latency target. */
   stages::Clock::time_point due;
   /** Latest time of the response's first byte. */
--- a/libs/entry/include/turmeric/entry/upstream_choice.h
+++ b/libs/entry/include/turmeric/entry/upstream_choice.h
@@ -39,7 +39,7 @@
 /** Parameters of a choice that is made without the owner of the cell. */
 struct LocalChoice {
   const std::string& service;
-  const std::string& work;  ///< Fingerprint of the request.
+  const std::string& fingerprint;  ///< Fingerprint of the request.
   /**
    * True if requests to the service are normally placed by the owners of its
    * cells.
--- a/libs/entry/src/engine_placer.cc
+++ b/libs/entry/src/engine_placer.cc
@@ -105,10 +105,10 @@
   const auto now = Clock::now();
   const routing::ServiceSpec* spec = context_.FindService(service);
   routing::ChoiceRequest choice = ToChoiceRequest(open.order);
-  choice.admits = context_.cold.AdmitsAsNonOwner(spec, now);
+  choice.admits = context_.cold_limiter.AdmitsAsNonOwner(spec, now);
   const UpstreamPtr engine =
       ChooseUpstream(context_.upstreams.ForService(service), choice, now);
-  if (engine) context_.cold.RecordSend(spec, *engine, now);
+  if (engine) context_.cold_limiter.RecordSend(spec, *engine, now);
   Complete(ticket, engine);
 }
 
--- a/libs/entry/src/entry_service.cc
+++ b/libs/entry/src/entry_service.cc
@@ -55,17 +55,20 @@
       quarantine_(std::make_unique<RequestQuarantine>(context_, *links_)),
       dispatcher_(std::make_unique<StageDispatcher>(context_)),
       router_(std::make_unique<StageRouter>(context_, *links_, *dispatcher_)),
-      desk_(std::make_unique<PlacementCoordinator>(context_)),
-      placer_(std::make_unique<EnginePlacer>(context_, *links_, *desk_)),
-      host_(std::make_unique<PeerServer>(
-          *dispatcher_, *desk_, context_.revision_gossip,
+      placement_coordinator_(std::make_unique<PlacementCoordinator>(context_)),
+      placer_(std::make_unique<EnginePlacer>(context_, *links_,
+                                             *placement_coordinator_)),
+      peer_server_(std::make_unique<PeerServer>(
+          *dispatcher_, *placement_coordinator_, context_.revision_gossip,
           [this](const std::string& name, Presence presence) {
             links_->OnPresence(name, presence);
           })),
       feed_(std::make_unique<TopologyFeed>(context_, link_)),
-      sharing_(std::make_unique<StoreSharing>(
-          context_, *links_, *feed_,
-          [this](const std::string& name) { return host_->FrameTo(name); })),
+      sharing_(std::make_unique<StoreSharing>(context_, *links_, *feed_,
+                                              [this](const std::string& name) {
+                                                return peer_server_->FrameTo(
+                                                    name);
+                                              })),
       config_check_(std::make_unique<ConfigCheck>(
           context_.settings.config_bound,
           [this] { return sharing_->config_current_at(); },
@@ -87,8 +90,9 @@
 }
 
 void EntryService::ConnectPeerEvents() {
-  context_.cold.set_reaches_most([this] { return links_->ReachesMost(); });
-  context_.cold.set_owns([this](const std::string& part) {
+  context_.cold_limiter.set_reaches_most(
+      [this] { return links_->ReachesMost(); });
+  context_.cold_limiter.set_owns([this](const std::string& part) {
     return !links_->OwnerOf(part).has_value();
   });
   links_->set_events(
@@ -109,13 +113,13 @@
            [this](peer::Frame& frame) {
              quarantine_->AddKnownCrashes(frame);
            }});
-  host_->set_on_new_peer(
+  peer_server_->set_on_new_peer(
       [this](peer::Frame& frame) { quarantine_->AddKnownCrashes(frame); });
-  host_->set_on_frame(
+  peer_server_->set_on_frame(
       [this](const std::string& identity, const peer::Frame& frame) {
         quarantine_->OnFrame(identity, frame);
       });
-  host_->set_on_follow(
+  peer_server_->set_on_follow(
       [this](const std::string& identity, const peer::FollowRequest& request) {
         sharing_->OnFollow(identity, request);
       });
@@ -157,10 +161,10 @@
   const config::EntrySettings& s = context_.settings;
   if (s.peer_address.empty()) {
     context_.retries.SetSingleInstance();
-    context_.cold.set_other_instances({});
+    context_.cold_limiter.set_other_instances({});
     return boost::outcome_v2::success();
   }
-  if (auto ok = host_->Listen(s.peer_address); !ok) return ok;
+  if (auto ok = peer_server_->Listen(s.peer_address); !ok) return ok;
   sharing_->Start();
   directory_ = std::make_unique<InstanceDirectory>(
       *link_.source, link_.instances_kind, s.name,
@@ -247,7 +251,7 @@
   drain_began_ = std::chrono::steady_clock::now();
   context_.stopping_since = drain_began_;
   links_->Leave();
-  host_->Leave();
+  peer_server_->Leave();
   utils::DecisionLog("stop_begins")
       .Add("open_requests", open_requests())
       .Add("connections", callers_.size());
@@ -276,7 +280,7 @@
   // Calls for pieces of other instances are in flight, too. If the process
   // exited before they end, they would be run again, and their requests would
   // be delayed.
-  const bool open_work = !callers_.empty() || host_->busy(now);
+  const bool open_work = !callers_.empty() || peer_server_->busy(now);
   if (open_work && now < stop.exit) return;
   drain_timer_.stop();
   utils::DecisionLog("stopped")
--- a/libs/entry/src/instance_links.cc
+++ b/libs/entry/src/instance_links.cc
@@ -62,7 +62,7 @@
       Clock::now());
   std::set<std::string, std::less<>> others;
   for (const auto& [name, instance] : instances_) others.insert(name);
-  context_.cold.set_other_instances(std::move(others));
+  context_.cold_limiter.set_other_instances(std::move(others));
 }
 
 bool InstanceLinks::ReachesMost() const {
@@ -91,7 +91,7 @@
     }
   }
   if (first_unreachable != nullptr && best_unreachable > best) {
-    first_unreachable->wanted_at = now;
+    first_unreachable->last_needed = now;
     if (!retry_timer_.isActive()) retry_timer_.start();
   }
   if (owner == nullptr) return std::nullopt;
@@ -193,7 +193,7 @@
   const auto now = Clock::now();
   bool any_wanted = false;
   for (auto& [name, other] : instances_) {
-    if (!other.unreachable || now - other.wanted_at > kWantedWindow) continue;
+    if (!other.unreachable || now - other.last_needed > kWantedWindow) continue;
     any_wanted = true;
     if (other.link != nullptr || now < other.retry_at) continue;
     Connect(name, other).Greet();
--- a/libs/entry/src/peer_server.cc
+++ b/libs/entry/src/peer_server.cc
@@ -61,11 +61,12 @@
 };
 
 PeerServer::PeerServer(StageDispatcher& local,
-                       PlacementCoordinator& coordinator, RevisionGossip& news,
+                       PlacementCoordinator& coordinator,
+                       RevisionGossip& revision_gossip,
                        PresenceCallback on_presence)
     : local_(local),
       coordinator_(coordinator),
-      news_(news),
+      revision_gossip_(revision_gossip),
       on_presence_(std::move(on_presence)) {
   drop_timer_.setInterval(kReconnectGrace);
   connect(&drop_timer_, &QTimer::timeout, this, [this] { DropDisconnected(); });
@@ -91,7 +92,7 @@
        .on_flush =
            [this](peer::Frame& frame) {
              AddBacklogs(frame);
-             news_.AddTo(frame);
+             revision_gossip_.AddTo(frame);
            },
        .on_end = [this, self](std::string_view) { OnLost(*self); }},
       this);
@@ -127,7 +128,7 @@
   const std::string identity =
       frame.sender.empty() ? identity_of_[link] : frame.sender;
   if (identity.empty()) return;
-  news_.ReadFrom(frame, Clock::now());
+  revision_gossip_.ReadFrom(frame, Clock::now());
   PeerState& peer_state = PeerStateOf(link, identity);
   if (!frame.sender.empty() || frame.leaving) {
     on_presence_(NameOf(identity),
@@ -177,7 +178,7 @@
   const std::string service = order.service;
   const uint64_t local_ticket = local_.Submit(
       service, std::move(order.piece),
-      {.on_inputs_taken =
+      {.on_inputs_fetched =
            [this, identity, ticket] {
              const auto it = peers_.find(identity);
              if (it == peers_.end() || it->second->link == nullptr) return;
--- a/libs/entry/src/piece_call.cc
+++ b/libs/entry/src/piece_call.cc
@@ -40,7 +40,7 @@
     Fail(Outcome::kTimeout);
   });
   connect(&input_fetch_timer_, &QTimer::timeout, this,
-          [this] { events_.on_inputs_taken(*this); });
+          [this] { events_.on_inputs_fetched(*this); });
 }
 
 PieceCall::~PieceCall() = default;
--- a/libs/entry/src/placement_coordinator.cc
+++ b/libs/entry/src/placement_coordinator.cc
@@ -18,9 +18,9 @@
  * @return time in which the engine reads the parts of the prompt that it does
  *     not hold in its cache, ms.
  */
-double UncachedPromptMs(const peer::PlacementOrder& order,
-                        const routing::ChoiceRequest& choice,
-                        const routing::Upstream& engine) {
+double PromptCostMs(const peer::PlacementOrder& order,
+                    const routing::ChoiceRequest& choice,
+                    const routing::Upstream& engine) {
   const double shared = choice.shared_ms + choice.session_ms;
   const double own = std::max(0.0, PromptMs(order.prompt_tokens) - shared);
   return own + routing::UncachedPromptMs(choice, engine);
@@ -40,14 +40,14 @@
     choice.memory = &context_.prompt_memory;
   }
   const routing::ServiceSpec* spec = context_.FindService(cell.service);
-  choice.admits = context_.cold.AdmitsAsOwner(spec, order.service, now);
+  choice.admits = context_.cold_limiter.AdmitsAsOwner(spec, order.service, now);
   const auto engines = stages::UpstreamsOfShard(
       cell, context_.upstreams.ForService(cell.service));
   const UpstreamPtr engine = ChooseUpstream(engines, choice, now);
   if (!engine) return nullptr;
-  context_.cold.RecordSend(spec, *engine, now);
-  books_[identity].Add(order.ticket, engine,
-                       UncachedPromptMs(order, choice, *engine), now);
+  context_.cold_limiter.RecordSend(spec, *engine, now);
+  trackers_[identity].Add(order.ticket, engine,
+                          PromptCostMs(order, choice, *engine), now);
   RecordPromptParts(order, *engine);
   return engine;
 }
@@ -64,15 +64,15 @@
 
 void PlacementCoordinator::OnPromptRead(const std::string& identity,
                                         uint64_t ticket) {
-  const auto book = books_.find(identity);
-  if (book != books_.end()) book->second.PromptRead(ticket);
+  const auto tracker = trackers_.find(identity);
+  if (tracker != trackers_.end()) tracker->second.PromptRead(ticket);
 }
 
 void PlacementCoordinator::End(const std::string& identity,
                                const peer::PlacementEnd& end) {
-  const auto book = books_.find(identity);
-  if (book == books_.end()) return;
-  const UpstreamPtr engine = book->second.End(end.ticket);
+  const auto tracker = trackers_.find(identity);
+  if (tracker == trackers_.end()) return;
+  const UpstreamPtr engine = tracker->second.End(end.ticket);
   if (!engine || identity.empty() || !end.outcome) return;
   // The latency of the send is not known to this instance, so the latency
   // recorded before is passed again; engines are not chosen by latency.
@@ -80,11 +80,11 @@
 }
 
 void PlacementCoordinator::DropInstance(const std::string& identity) {
-  books_.erase(identity);
+  trackers_.erase(identity);
 }
 
 void PlacementCoordinator::Expire(Clock::time_point now) {
-  for (auto& [identity, book] : books_) book.Expire(now);
+  for (auto& [identity, tracker] : trackers_) tracker.Expire(now);
 }
 
 }  // namespace turmeric::entry
--- a/libs/entry/src/request_run.cc
+++ b/libs/entry/src/request_run.cc
@@ -175,7 +175,7 @@
       *context_.stages,
       StagePlan{.request = request_,
                 .route = *route_,
-                .work = fingerprint_,
+                .fingerprint = fingerprint_,
                 .rank = admission_.rank,
                 .due = arrived_ + route_->latency_target - time_used_,
                 .deadline = admission_.first_byte_limit,
@@ -193,7 +193,8 @@
           .engine_zone =
               [this] {
                 if (!route_->carries_prompt) return context_.settings.zone;
-                return AffinityZone(context_, service_, MakeWantedUpstream({}));
+                return AffinityZone(context_, service_,
+                                    MakeUpstreamCriteria({}));
               },
           .find_producer =
               [this](const std::string& service, const std::string& handle) {
@@ -218,7 +219,7 @@
 
 // Sending to an upstream.
 
-UpstreamCriteria RequestRun::MakeWantedUpstream(
+UpstreamCriteria RequestRun::MakeUpstreamCriteria(
     std::string_view results_zone) const {
   return {.request = request_,
           .tried = tried_upstreams_,
@@ -229,12 +230,12 @@
 void RequestRun::SendToUpstream() {
   if (TimeLeft() <= milliseconds(0)) return OnTimeLimit();
   const std::string results_zone = stages_->inputs_zone();
-  const UpstreamCriteria wanted = MakeWantedUpstream(results_zone);
+  const UpstreamCriteria wanted = MakeUpstreamCriteria(results_zone);
   const bool suspect = context_.quarantine->IsSuspect(fingerprint_);
   if (suspect || !route_->carries_prompt) {
     return SendTo(ChooseLocally(context_,
                                 {.service = service_,
-                                 .work = fingerprint_,
+                                 .fingerprint = fingerprint_,
                                  .has_owner = route_->carries_prompt,
                                  .suspect = suspect},
                                 wanted));
@@ -275,7 +276,7 @@
     return Refuse("connections_used_up", RetryAfter::kSoon);
   }
   ++sends_;
-  events_before_send_ = relay_.events();
+  events_before_send_ = forwarder_.events();
   tried_upstreams_.push_back(upstream->entry.id);
   send_ = std::make_unique<UpstreamSend>(
       context_,
@@ -304,8 +305,8 @@
                     .time_left = TimeLeft(),
                     .upstream_id = upstream.entry.id,
                     .organisation = admission_.organisation,
-                    .last_event_id = relay_.last_event_id()
-                                         ? relay_.last_event_id()
+                    .last_event_id = forwarder_.last_event_id()
+                                         ? forwarder_.last_event_id()
                                          : request_.last_event_id,
                     .inputs = stages_->inputs(),
                     .engine_priority = {}};
@@ -340,7 +341,7 @@
 void RequestRun::OnStreamBytes(std::string_view bytes) {
   const AnswerInfo& info = send_->info();
   if (!info.has_receipt || info.attempt_id.empty()) return;
-  const std::string events = relay_.Feed(bytes);
+  const std::string events = forwarder_.Feed(bytes);
   if (events.empty() || !answer_.caller_connected()) return;
   if (!answer_.streaming()) ForwardHead();
   send_->OnPromptRead();
@@ -383,7 +384,7 @@
       AnswerFault({.status = head.status,
                    .info = send_->info(),
                    .is_event_stream = send_->IsEventStream(),
-                   .inside_event = relay_.inside_event()});
+                   .inside_event = forwarder_.inside_event()});
   if (!fault.empty()) {
     send_->End(Outcome::kBroken);
     return OnExchangeBroken(fault);
@@ -438,11 +439,11 @@
       .Add("work", fingerprint_)
       .Add("upstream", send_->upstream()->entry.id)
       .Add("why", why)
-      .Add("events", relay_.events())
+      .Add("events", forwarder_.events())
       .Add("sends", sends_)
       .Add("left_ms", TimeLeft().count());
-  const bool progressed = relay_.events() > events_before_send_;
-  relay_.OnRunEnded();
+  const bool progressed = forwarder_.events() > events_before_send_;
+  forwarder_.OnRunEnded();
   const QPointer<RequestRun> self(this);
   auto after_probe = [self, reason = std::string(why)] {
     if (!self || self->finished_) return;
@@ -588,7 +589,7 @@
       .Add("upstream", send_ ? send_->upstream()->entry.id : "-")
       .Add("phase", Phase())
       .Add("sends", sends_)
-      .Add("events", relay_.events())
+      .Add("events", forwarder_.events())
       .Add("target_ms", route_ ? route_->latency_target.count() : 0)
       .Add("used_ms", time_used_.count())
       .Add("stages_ms", stages_done_ms_)
--- a/libs/entry/src/stage_dispatcher.cc
+++ b/libs/entry/src/stage_dispatcher.cc
@@ -47,7 +47,7 @@
 /** Calls in progress and results held of one upstream. */
 struct StageDispatcher::Worker {
   int calls = 0;
-  stages::ResultMemory room;
+  stages::ResultMemory memory;
 };
 
 struct StageDispatcher::Queue {
@@ -125,7 +125,7 @@
 
 std::map<std::string, double> StageDispatcher::KnownBacklogs() const {
   std::map<std::string, double> backlogs =
-      context_.backlogs.Fresh(Clock::now());
+      context_.backlog_reports.Fresh(Clock::now());
   for (const auto& [shard, calls] : Backlogs()) {
     backlogs[shard] = std::max(backlogs[shard], calls);
   }
@@ -163,7 +163,7 @@
 
 std::optional<PieceFailure> StageDispatcher::RefusalReason(
     const Queue& queue, const stages::Piece& piece) const {
-  if (context_.quarantine->RemainingQuarantine(piece.work)) {
+  if (context_.quarantine->RemainingQuarantine(piece.fingerprint)) {
     return PieceFailure::kQuarantined;
   }
   if (CannotMeetDeadline(queue, piece)) return PieceFailure::kLate;
@@ -245,7 +245,7 @@
   bool any_listed = false;
   const routing::ServiceSpec* spec = context_.FindService(queue.shard.service);
   const routing::UpstreamFilter admits =
-      context_.cold.AdmitsAsOwner(spec, queue.name, now);
+      context_.cold_limiter.AdmitsAsOwner(spec, queue.name, now);
   for (const UpstreamPtr& u : UpstreamsOf(queue)) {
     if (!IsListed(*u, now)) continue;
     any_listed = true;
@@ -266,7 +266,7 @@
     std::vector<QueuedPiece> call =
         queue.pieces.TakeCall({.pieces = limits.batch,
                                .result_memory_bytes = stages::ResultMemoryLeft(
-                                   limits, worker.room.Used(now)),
+                                   limits, worker.memory.Used(now)),
                                .other_zones = zones,
                                .backed_up = backed_up,
                                .zone = u->entry.zone,
@@ -287,7 +287,7 @@
   for (QueuedPiece& q : pieces) {
     // A piece counts like a request to the service: its first send earns retry
     // credit.
-    if (q.sends++ > 0 || q.piece.repeated) continue;
+    if (q.sends++ > 0 || q.piece.retried) continue;
     context_.retries.OnRequest(queue.shard.service, Clock::now(),
                                kPieceCreditWeight);
   }
@@ -299,7 +299,7 @@
        .upstream = upstream,
        .pieces = std::move(pieces),
        .timeout = timeout},
-      {.on_inputs_taken = [this](PieceCall& c) { OnInputsTaken(c); },
+      {.on_inputs_fetched = [this](PieceCall& c) { OnInputsFetched(c); },
        .on_done = [this, batch = limits.batch](
                       PieceCall& c,
                       auto results) { OnCallDone(c, results, batch); },
@@ -307,9 +307,9 @@
                            Outcome outcome) { OnCallFailed(c, outcome); }},
       this);
   Worker& worker = WorkerOf(queue, upstream);
-  context_.cold.RecordSend(context_.FindService(queue.shard.service), *upstream,
-                           Clock::now());
-  worker.room.Reserve(call->bytes());
+  context_.cold_limiter.RecordSend(context_.FindService(queue.shard.service),
+                                   *upstream, Clock::now());
+  worker.memory.Reserve(call->bytes());
   ++worker.calls;
   call->Start();
 }
@@ -329,7 +329,8 @@
       .Add("ms", call.elapsed().count());
   for (size_t i = 0; i < results.size(); ++i) {
     if (results[i].failure != PieceFailure::kNone) continue;
-    context_.quarantine->OnGoodRun(call.pieces()[i].piece.work, call.service());
+    context_.quarantine->OnGoodRun(call.pieces()[i].piece.fingerprint,
+                                   call.service());
   }
   Deliver(call, results);
   ScheduleDispatch();
@@ -340,20 +341,20 @@
   Queue& queue = QueueOf(call.shard());
   Worker& worker = WorkerOf(queue, call.upstream());
   --worker.calls;
-  worker.room.Unreserve(call.bytes());
+  worker.memory.Unreserve(call.bytes());
   const routing::ServiceSpec* spec =
       context_.table->FindService(call.service());
-  const double keep_s =
+  const double result_retention_s =
       spec && spec->stage ? spec->stage->result_retention_s : 0;
   const auto expires_at =
-      Clock::now() +
-      std::chrono::milliseconds(static_cast<int64_t>(keep_s * 1000));
+      Clock::now() + std::chrono::milliseconds(
+                         static_cast<int64_t>(result_retention_s * 1000));
   for (size_t i = 0; i < results.size(); ++i) {
     QueuedPiece& piece = call.pieces()[i];
     PieceResult result = results[i];
     result.zone = call.upstream()->entry.zone;
     if (result.failure == PieceFailure::kNone) {
-      worker.room.Hold(result.handle, piece.piece.result_bytes, expires_at);
+      worker.memory.Hold(result.handle, piece.piece.result_bytes, expires_at);
     }
     const bool retryable = result.failure == PieceFailure::kNoMemory ||
                            result.failure == PieceFailure::kFailed;
@@ -369,15 +370,15 @@
   });
   if (!no_room || spec == nullptr || !spec->stage) return;
   const auto now = Clock::now();
-  worker.room.NoteFull(
-      stages::ResultMemoryLeft(*spec->stage, worker.room.Used(now)), now);
+  worker.memory.NoteFull(
+      stages::ResultMemoryLeft(*spec->stage, worker.memory.Used(now)), now);
 }
 
 void StageDispatcher::OnCallFailed(PieceCall& call, Outcome outcome) {
   context_.RecordOutcome(*call.upstream(), outcome, 0);
   Worker& worker = WorkerOf(QueueOf(call.shard()), call.upstream());
   --worker.calls;
-  worker.room.Unreserve(call.bytes());
+  worker.memory.Unreserve(call.bytes());
   utils::DecisionLog("stage_call_failed")
       .Add("service", call.service())
       .Add("upstream", call.upstream()->entry.id)
@@ -393,7 +394,8 @@
 void StageDispatcher::OnCallBroken(PieceCall& call) {
   std::vector<InterruptedRequest> requests;
   for (const QueuedPiece& piece : call.pieces()) {
-    requests.push_back({.fingerprint = piece.piece.work, .progressed = false});
+    requests.push_back(
+        {.fingerprint = piece.piece.fingerprint, .progressed = false});
   }
   auto pieces =
       std::make_shared<std::vector<QueuedPiece>>(std::move(call.pieces()));
@@ -411,7 +413,7 @@
   Queue& queue = QueueOf(shard);
   const std::string& service = queue.shard.service;
   for (QueuedPiece& piece : pieces) {
-    if (context_.quarantine->RemainingQuarantine(piece.piece.work)) {
+    if (context_.quarantine->RemainingQuarantine(piece.piece.fingerprint)) {
       piece.events.on_done(
           {.failure = PieceFailure::kQuarantined, .handle = {}, .zone = {}});
       continue;
@@ -433,15 +435,15 @@
                                  const std::vector<std::string>& handles) {
   Queue& queue = QueueOf(shard);
   for (auto& [upstream, worker] : queue.workers) {
-    for (const std::string& handle : handles) worker.room.Release(handle);
+    for (const std::string& handle : handles) worker.memory.Release(handle);
   }
   ScheduleDispatch();
 }
 
-void StageDispatcher::OnInputsTaken(PieceCall& call) const {
+void StageDispatcher::OnInputsFetched(PieceCall& call) const {
   if (!context_.Uses(Mechanism::kEarlyRelease)) return;
   for (const QueuedPiece& piece : call.pieces()) {
-    if (piece.events.on_inputs_taken) piece.events.on_inputs_taken();
+    if (piece.events.on_inputs_fetched) piece.events.on_inputs_fetched();
   }
 }
 
--- a/libs/entry/src/stage_router.cc
+++ b/libs/entry/src/stage_router.cc
@@ -58,7 +58,7 @@
 
 uint64_t StageRouter::Submit(const std::string& service, stages::Piece piece,
                              stages::PieceEvents events) {
-  if (!piece.repeated) {
+  if (!piece.retried) {
     context_.retries.OnRequest(service, Clock::now(), kPieceCreditWeight);
   }
   const uint64_t ticket = next_ticket_++;
@@ -91,15 +91,15 @@
   pending.owner.clear();
   pending.local_ticket = local_.Submit(
       pending.shard, pending.piece,
-      {.on_inputs_taken = [this, ticket] { OnInputsTaken(ticket); },
+      {.on_inputs_fetched = [this, ticket] { OnInputsFetched(ticket); },
        .on_done = [this, ticket](
                       const PieceResult& result) { OnDone(ticket, result); }});
 }
 
-void StageRouter::OnInputsTaken(uint64_t ticket) {
+void StageRouter::OnInputsFetched(uint64_t ticket) {
   const auto it = pending_.find(ticket);
   if (it == pending_.end()) return;
-  const auto callback = it->second.events.on_inputs_taken;
+  const auto callback = it->second.events.on_inputs_fetched;
   if (callback) callback();
 }
 
@@ -175,13 +175,14 @@
 
 void StageRouter::OnFrame(const peer::Frame& frame) {
   for (const peer::Backlog& backlog : frame.backlogs) {
-    context_.backlogs.Record(backlog.service, backlog.calls, Clock::now());
+    context_.backlog_reports.Record(backlog.service, backlog.calls,
+                                    Clock::now());
   }
-  for (const uint64_t ticket : frame.taken) OnInputsTaken(ticket);
+  for (const uint64_t ticket : frame.taken) OnInputsFetched(ticket);
   for (const peer::PieceDone& d : frame.done) OnDone(d.ticket, d.result);
 }
 
-void StageRouter::OnInstanceLost(const std::string& name, bool reconnected) {
+void StageRouter::OnInstanceLost(const std::string& name, bool was_reset) {
   std::vector<uint64_t> tickets;
   for (const auto& [ticket, pending] : pending_) {
     if (pending.owner == name) tickets.push_back(ticket);
@@ -195,8 +196,8 @@
     Pending& pending = it->second;
     // Pieces that may already have run count as retries when they run
     // elsewhere.
-    const bool is_retry = !reconnected && pending.may_have_run;
-    pending.piece.repeated = pending.piece.repeated || is_retry;
+    const bool is_retry = !was_reset && pending.may_have_run;
+    pending.piece.retried = pending.piece.retried || is_retry;
     if (is_retry && !entry::SpendRetryCredit(
                         context_, stages::ParseShard(pending.shard).service,
                         pending.piece.request_id)) {
--- a/libs/entry/src/stage_run.cc
+++ b/libs/entry/src/stage_run.cc
@@ -87,8 +87,8 @@
   piece.deadline = plan_.deadline - rest;
   piece.zone = ZoneFor(stage);
   piece.next_services = progress_.ServicesAfter(stage);
-  piece.work = plan_.work;
-  piece.repeated = restarted_stages_.contains(stage);
+  piece.fingerprint = plan_.fingerprint;
+  piece.retried = restarted_stages_.contains(stage);
   const auto now = Clock::now();
   submissions_[stage] = {now,
                          now + plan_.times.Expected(spec.service) < piece.due};
@@ -108,10 +108,10 @@
   };
   const std::string& service =
       plan_.route.stages[static_cast<size_t>(stage)].service;
-  return {.on_inputs_taken =
+  return {.on_inputs_fetched =
               [self, is_current, stage] {
                 if (!is_current()) return;
-                self->progress_.InputsTaken(stage);
+                self->progress_.InputsFetched(stage);
                 self->Release(self->progress_.TakeUnneeded());
               },
           .on_done =
--- a/libs/entry/src/topology_feed.cc
+++ b/libs/entry/src/topology_feed.cc
@@ -90,7 +90,7 @@
   connect(&expire_timer_, &QTimer::timeout, this, [this] {
     context_.upstreams.Expire(Clock::now());
     ApplyEvacuations();
-    context_.cold.UpdateOwnedParts();
+    context_.cold_limiter.UpdateOwnedParts();
     for (auto& [kind, state] : kinds_) state.reflector->CheckWatchOverdue();
   });
 }
--- a/libs/entry/src/upstream_choice.cc
+++ b/libs/entry/src/upstream_choice.cc
@@ -42,25 +42,25 @@
   const auto upstreams = context.upstreams.ForService(choice.service);
   const routing::ServiceSpec* spec = context.FindService(choice.service);
   const routing::UpstreamFilter admits =
-      choice.has_owner ? context.cold.AdmitsAsNonOwner(spec, now)
-                       : context.cold.AdmitsForUnowned(spec, now);
+      choice.has_owner ? context.cold_limiter.AdmitsAsNonOwner(spec, now)
+                       : context.cold_limiter.AdmitsForUnowned(spec, now);
   UpstreamPtr chosen;
   if (choice.suspect) {
-    chosen = ChooseByFingerprint(upstreams, choice.work, criteria.tried, now,
-                                 admits);
+    chosen = ChooseByFingerprint(upstreams, choice.fingerprint, criteria.tried,
+                                 now, admits);
   } else {
     routing::ChoiceRequest request = ToChoiceRequest(criteria);
     request.admits = admits;
     chosen = ChooseUpstream(upstreams, request, now);
   }
-  if (chosen) context.cold.RecordSend(spec, *chosen, now);
+  if (chosen) context.cold_limiter.RecordSend(spec, *chosen, now);
   return chosen;
 }
 
 bool MayHaveCapacitySoon(const EntryContext& context,
                          const std::string& service,
                          std::span<const std::string> tried) {
-  if (!context.cold.IsLimited(context.FindService(service))) return false;
+  if (!context.cold_limiter.Limits(context.FindService(service))) return false;
   const auto now = Clock::now();
   return std::ranges::any_of(
       context.upstreams.ForService(service), [&](const UpstreamPtr& u) {
--- a/libs/entry/test/request_admission_test.cc
+++ b/libs/entry/test/request_admission_test.cc
@@ -122,15 +122,16 @@
 // Guards against duplicate events: an engine crashes, and the engine that
 // resumes the stream sends an event which the caller has already received.
 TEST_CASE("a stream forwards each event once over several runs") {
-  StreamForwarder relay;
-  REQUIRE(relay.Feed("id: 1\ndata: a\n\nid: 2\nda") == "id: 1\ndata: a\n\n");
-  REQUIRE(relay.inside_event());
-  relay.OnRunEnded();
-  REQUIRE(relay.last_event_id() == 1);
-  REQUIRE(relay.Feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\n") ==
+  StreamForwarder forwarder;
+  REQUIRE(forwarder.Feed("id: 1\ndata: a\n\nid: 2\nda") ==
+          "id: 1\ndata: a\n\n");
+  REQUIRE(forwarder.inside_event());
+  forwarder.OnRunEnded();
+  REQUIRE(forwarder.last_event_id() == 1);
+  REQUIRE(forwarder.Feed("id: 1\ndata: a\n\nid: 2\ndata: b\n\n") ==
           "id: 2\ndata: b\n\n");
-  REQUIRE(relay.events() == 2);
-  REQUIRE_FALSE(relay.inside_event());
+  REQUIRE(forwarder.events() == 2);
+  REQUIRE_FALSE(forwarder.inside_event());
 }
 
 TEST_CASE("refusals that are not final have a retry delay") {
--- a/libs/peer/src/frame.cc
+++ b/libs/peer/src/frame.cc
@@ -50,7 +50,7 @@
       b.CreateSharedString(p.key), WriteTexts(b, p.inputs), p.result_bytes,
       p.rank, RelativeMs(p.due, now), RelativeMs(p.deadline, now),
       b.CreateSharedString(p.zone), WriteTexts(b, p.next_services),
-      b.CreateSharedString(p.work), p.repeated);
+      b.CreateSharedString(p.fingerprint), p.retried);
 }
 
 Offset<wire::PieceDone> Write(FlatBufferBuilder& b, const PieceDone& done) {
@@ -120,8 +120,8 @@
                  .deadline = now + milliseconds(p.deadline_in_ms()),
                  .zone = Text(p.zone()),
                  .next_services = Texts(p.next_services()),
-                 .work = Text(p.work()),
-                 .repeated = p.repeated()};
+                 .fingerprint = Text(p.work()),
+                 .retried = p.repeated()};
   return order;
 }
 
--- a/libs/peer/test/frame_test.cc
+++ b/libs/peer/test/frame_test.cc
@@ -32,8 +32,8 @@
                                     .due = now + 900ms,
                                     .deadline = now + 5000ms,
                                     .zone = "zone-a",
-                                    .work = "f00d",
-                                    .repeated = true}});
+                                    .fingerprint = "f00d",
+                                    .retried = true}});
   frame.taken = {7};
   frame.done.push_back({.ticket = 8,
                         .result = {.failure = PieceFailure::kNoMemory,
@@ -158,8 +158,8 @@
   const auto later = now + 1h;
   const auto frame = Decode(Encode(MakeFrame(now), now), later);
   REQUIRE(frame);
-  REQUIRE(frame->pieces[0].piece.work == "f00d");
-  REQUIRE(frame->pieces[0].piece.repeated);
+  REQUIRE(frame->pieces[0].piece.fingerprint == "f00d");
+  REQUIRE(frame->pieces[0].piece.retried);
   REQUIRE(frame->crashes.size() == 1);
   REQUIRE(frame->crashes[0].fingerprint == "f00d");
   REQUIRE(frame->crashes[0].service == "llm");
--- a/libs/stages/include/turmeric/stages/piece.h
+++ b/libs/stages/include/turmeric/stages/piece.h
@@ -26,9 +26,9 @@
   std::string zone;
   /** Services of the stages that follow, for which its result must be kept. */
   std::vector<std::string> next_services;
-  std::string work;  ///< Fingerprint of its request.
+  std::string fingerprint;  ///< Fingerprint of its request.
   /** The piece may have run before; it adds no credit for retries of pieces. */
-  bool repeated = false;
+  bool retried = false;
 };
 
 /** Why a piece has no result. */
--- a/libs/stages/include/turmeric/stages/piece_queue.h
+++ b/libs/stages/include/turmeric/stages/piece_queue.h
@@ -19,7 +19,7 @@
   /** Called when a call has fetched the piece's inputs, which need not be kept
    * for it any more. Called again if that call fails and a later one fetches
    * them. */
-  std::function<void()> on_inputs_taken;
+  std::function<void()> on_inputs_fetched;
   /** Called once with the outcome of the piece. */
   std::function<void(const PieceResult&)> on_done;
 };
--- a/libs/stages/include/turmeric/stages/stage_progress.h
+++ b/libs/stages/include/turmeric/stages/stage_progress.h
@@ -50,7 +50,7 @@
   void Complete(int stage, int index, const PieceResult& result);
   /** Records that a call has fetched the inputs of a piece. @param stage of the
    * piece. */
-  void InputsTaken(int stage) {
+  void InputsFetched(int stage) {
     ++stages_[static_cast<size_t>(stage)].inputs_fetched;
   }
   /** Starts again from the first stage, without any results. */
--- a/libs/stages/src/piece_queue.cc
+++ b/libs/stages/src/piece_queue.cc
@@ -83,7 +83,7 @@
 }
 
 int PieceQueue::Crashes(const Piece& piece) const {
-  return rules_.crashes ? rules_.crashes(piece.work) : 0;
+  return rules_.crashes ? rules_.crashes(piece.fingerprint) : 0;
 }
 
 uint64_t PieceQueue::Push(Piece piece, PieceEvents events) {
@@ -131,7 +131,7 @@
   for (const auto& [urgency, it] : order) {
     if (static_cast<int>(call.size()) >= capacity.pieces) break;
     if (it->piece.result_bytes > memory_left) continue;
-    if (!composition.Admit(it->piece.work, Crashes(it->piece))) continue;
+    if (!composition.Admit(it->piece.fingerprint, Crashes(it->piece))) continue;
     memory_left -= it->piece.result_bytes;
     if (urgency.late) ++late;
     call.push_back(std::move(*it));
--- a/libs/stages/test/piece_queue_test.cc
+++ b/libs/stages/test/piece_queue_test.cc
@@ -163,7 +163,7 @@
 void PushWork(PieceQueue& queue, const std::string& work,
               std::chrono::milliseconds due_in) {
   Piece piece = MakePiece(work, due_in);
-  piece.work = work;
+  piece.fingerprint = work;
   queue.Push(std::move(piece), {});
 }
 
--- a/libs/stages/test/stage_progress_test.cc
+++ b/libs/stages/test/stage_progress_test.cc
@@ -127,9 +127,9 @@
   progress.TakeReady();
   CompleteAll(progress, 0);
   progress.TakeReady();
-  progress.InputsTaken(1);
+  progress.InputsFetched(1);
   REQUIRE(progress.TakeUnneeded().empty());
-  progress.InputsTaken(1);
+  progress.InputsFetched(1);
   REQUIRE(progress.TakeUnneeded().size() == 1);
 }
 
