--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -42,21 +42,21 @@
   return engines;
 }
 
-ColdLimiter MakeGuard(int64_t instances) {
-  ColdLimiter guard({}, "entry-0");
+ColdLimiter MakeLimiter(int64_t instances) {
+  ColdLimiter limiter({}, "entry-0");
   std::set<std::string, std::less<>> others;
   for (int64_t i = 1; i < instances; ++i) {
     others.insert("entry-" + std::to_string(i));
   }
-  guard.set_other_instances(std::move(others));
-  return guard;
+  limiter.set_other_instances(std::move(others));
+  return limiter;
 }
 
 /** Placement by the owner of a cell, a subset of the engines: selects the
  * engines of the cell and chooses one for the prompt. */
 void BM_PlaceAsOwner(benchmark::State& state) {
   const auto engines = MakeEngines(state.range(0), state.range(1) != 0);
-  ColdLimiter guard = MakeGuard(300);
+  ColdLimiter limiter = MakeLimiter(300);
   ServiceSpec spec;
   spec.cold_per_s = 8.4;
   PromptMemory memory;
@@ -76,7 +76,7 @@
     choice.session_ms = 80;
     choice.memory = &memory;
     const auto now = Clock::now();
-    choice.admits = guard.AdmitsAsOwner(&spec, name, now);
+    choice.admits = limiter.AdmitsAsOwner(&spec, name, now);
     const UpstreamPtr engine = ChooseUpstream(own, choice, now);
     if (!engine) continue;
     memory.Note(engine->entry.id, "shared", 2500, 200000);
@@ -91,14 +91,14 @@
  * among all engines, each with only this instance's share of its cold limit. */
 void BM_PlaceAlone(benchmark::State& state) {
   const auto engines = MakeEngines(140, false);
-  const ColdLimiter guard = MakeGuard(state.range(0));
+  const ColdLimiter limiter = MakeLimiter(state.range(0));
   ServiceSpec spec;
   spec.cold_per_s = 8.4;
   for (auto _ : state) {
     ChoiceRequest choice;
     choice.has_prompt = true;
     const auto now = Clock::now();
-    choice.admits = guard.AdmitsAsNonOwner(&spec, now);
+    choice.admits = limiter.AdmitsAsNonOwner(&spec, now);
     benchmark::DoNotOptimize(ChooseUpstream(engines, choice, now));
   }
 }
