--- a/bench/capacity_bench.cc
+++ b/bench/capacity_bench.cc
@@ -49,7 +49,7 @@
   return "organisation-" + std::to_string(i);
 }
 
-/** Writes settings with two keys for each organisation, like the seeded ones.
+/** Writes settings with two keys for each organisation.
  * @param distinct true: the settings texts of all organisations differ (worst
  *     case for memory); false: 50 texts are shared. */
 void SeedOrganisations(MemoryStore& store, int n, bool distinct = false) {
@@ -144,8 +144,9 @@
 }
 BENCHMARK(BM_ConfigChangeFanout)->Arg(1)->Arg(8)->Arg(64);
 
-// CPU time of one power-of-two-choices pick in a pool; the argument is the
-// number of upstreams.
+// CPU time to pick an upstream from a pool by power of two choices and to
+// record the start and the end of its call; the argument is the number of
+// upstreams.
 void BM_UpstreamPick(benchmark::State& state) {
   turmeric::gateway::UpstreamPool pool;
   std::vector<turmeric::gateway::UpstreamRef> members;
@@ -165,8 +166,8 @@
 }
 BENCHMARK(BM_UpstreamPick)->Arg(12)->Arg(120);
 
-// Store calls and CPU time per non-idempotent request, which acquires and
-// completes one claim.
+// Store calls and CPU time per non-idempotent request, which looks up, acquires
+// and completes one claim.
 void BM_ClaimPerNonIdempotentRequest(benchmark::State& state) {
   MemoryStore store;
   turmeric::gateway::ClaimTable table(store, "entry-1");
--- a/bench/placement_bench.cc
+++ b/bench/placement_bench.cc
@@ -53,7 +53,8 @@
 }
 
 /** Placement by the owner of a cell, a subset of the engines: selects the
- * engines of the cell and chooses one for the prompt. */
+ * engines of the cell, chooses one for the prompt and records the prompt parts
+ * sent to it. */
 void BM_PlaceAsOwner(benchmark::State& state) {
   const auto engines = MakeEngines(state.range(0), state.range(1) != 0);
   ColdLimiter limiter = MakeLimiter(300);
@@ -87,8 +88,9 @@
     ->ArgsProduct({{60, 140, 560, 2240, 7600}, {0, 1}})
     ->ArgNames({"engines", "evacuated"});
 
-/** Placement by an instance that cannot reach the owner of the cell: chooses
- * among all engines, each with only this instance's share of its cold limit. */
+/** Placement by an instance that cannot reach the owner of the cell. The
+ * instance chooses among all engines and may use only its own share of the cold
+ * limit of each engine. */
 void BM_PlaceAlone(benchmark::State& state) {
   const auto engines = MakeEngines(140, false);
   const ColdLimiter limiter = MakeLimiter(state.range(0));
--- a/libs/config/include/turmeric/config/entry_settings.h
+++ b/libs/config/include/turmeric/config/entry_settings.h
@@ -29,24 +29,25 @@
   /** Time after a store outage for which upstreams are kept although their
    * entries expired during the outage. */
   std::chrono::milliseconds lapsed_grace{2000};
-  /** Longest time until an upstream in a planned stop receives no new
-   * requests. */
+  /** Longest time from the start of an upstream's planned stop until the
+   * upstream receives no new requests. The value is validated when the file is
+   * loaded, but not used by the instance. */
   std::chrono::milliseconds drain_bound{2000};
-  /** Longest time until an evacuated availability zone receives no new
-   * requests. */
+  /** Longest time from the evacuation of an availability zone until its
+   * upstreams receive no new requests. */
   std::chrono::milliseconds evacuation_bound{5000};
   /** Longest time until a configuration accepted by the store is in force. */
   std::chrono::milliseconds config_bound{2000};
-  /** Factor on the arrivals per second that an upstream states to bear while it
-   * is cold. */
+  /** Factor on the arrivals per second that an upstream can serve while it is
+   * cold, as stated for its service. */
   double cold_over = 1.5;
-  /** Arrivals per second allowed beyond that, fleet-wide. */
+  /** Arrivals per second added to the scaled cold rate, fleet-wide. */
   double cold_slack = 5;
   /** CPU cores that this instance may use; 0: not stated. Instances with a
    * larger share are preferred as relays of the store's changes. */
   double cpu_share = 0;
   double retry_ratio = 0.2;  ///< Retries per request, fleet-wide.
-  double retry_slack = 50;   ///< Retries beyond that, fleet-wide.
+  double retry_slack = 50;   ///< Retries allowed in addition, fleet-wide.
   /** Window of the retry budget. */
   std::chrono::milliseconds retry_window{10000};
   /** True if the whole fleet, including this instance, starts for the first
--- a/libs/config/include/turmeric/config/mechanisms.h
+++ b/libs/config/include/turmeric/config/mechanisms.h
@@ -26,15 +26,16 @@
   /** Pieces that cannot meet their latency target are queued behind all pieces
    * that can. */
   kLateLast,
-  /** Late pieces that no call can serve before their deadline are refused while
-   * queued. */
+  /** Queued late pieces are refused if, by the rate at which calls have taken
+   * late pieces, no call is expected to take them in time for their deadline.
+   */
   kRefuseUnreached,
   /** Pieces that cannot be completed in time are refused on arrival. */
   kRefuseTooLate,
   /** Work that leads to a stage service with a long queue is not started. */
   kBackingUp,
-  /** Stages with large results start as late as the stages that run in parallel
-   * allow. */
+  /** A stage with large results starts as late as possible without ending later
+   * than the longest parallel chain of stages. */
   kLargeLast,
   /** Stages are planned by their measured durations. */
   kStageTimes,
@@ -53,8 +54,8 @@
   kTryNext,
   /** The rank of a request is sent to the engine as its priority. */
   kEnginePriority,
-  /** Watches of the store use longer waits while frames from peer instances are
-   * received. */
+  /** Watches of the store wait longer for changes while frames from peer
+   * instances are received. */
   kLongWatches,
   /** A few instances, the relays, watch the store and pass its changes on to
    * the others. */
--- a/libs/config/include/turmeric/config/settings_tree.h
+++ b/libs/config/include/turmeric/config/settings_tree.h
@@ -60,7 +60,8 @@
   bool Apply(const store::StoredObject& change);
 
   /**
-   * Merges group → business → pipeline → organisation.
+   * Merges the levels group, business, pipeline and organisation; a key stated
+   * at a later level overrides the earlier levels.
    * @param business business name.
    * @param pipeline pipeline name.
    * @param organisation organisation name.
--- a/libs/config/src/settings_tree.cc
+++ b/libs/config/src/settings_tree.cc
@@ -92,8 +92,9 @@
     return true;
   }
   auto parsed = ParseLayer(change.value);
-  // Values are validated before they are stored, so an invalid one was written
-  // by other means. The last valid layer is kept.
+  // The settings API validates a level before it is stored, so an invalid value
+  // was written to the store without the API. The last valid layer of the key
+  // is kept.
   if (!parsed) return false;
   levels_[change.key] =
       HeldLevel{Intern(std::move(parsed).value()), change.revision};
--- a/libs/http/include/turmeric/http/message_parser.h
+++ b/libs/http/include/turmeric/http/message_parser.h
@@ -12,7 +12,7 @@
 /** State of a parser after a call of Feed. */
 enum class ParseStatus {
   kNeedMore,        ///< The message is incomplete.
-  kDone,            ///< The message is complete; it takes no more bytes.
+  kDone,            ///< The message is complete; no more bytes are consumed.
   kMalformed,       ///< Not HTTP/1.1, or contradictory framing.
   kHeaderTooLarge,  ///< The head exceeds the limit.
   kBodyTooLarge,    ///< The body exceeds the limit.
--- a/libs/http/src/details/response_queue.cc
+++ b/libs/http/src/details/response_queue.cc
@@ -31,8 +31,8 @@
 void ResponseQueue::Advance() {
   // Guard: with HTTP pipelining, a caller sends its next request before it has
   // received the first response, and the second response may be ready first.
-  // If that was written at once, the caller would take it for the first
-  // response. Only the front exchange writes; writes of the others are
+  // If the second response was written at once, the caller would read it as the
+  // first. Only the front exchange writes; writes of the others are
   // deferred, so that responses are sent in request order.
   while (!open_.empty() && open_.front()->finished()) {
     open_.pop_front();
--- a/libs/http/src/server_connection.cc
+++ b/libs/http/src/server_connection.cc
@@ -197,10 +197,10 @@
 }
 
 void ServerConnection::CloseIfIdle() {
-  // Guard: the next request may be in transit. If it has been received, it is
-  // read and handled. If it is received later, the closed socket resets the
-  // connection, so that the caller can infer that the request was not run. If
-  // it was read after the close, it would get no response.
+  // Guard: the next request may be in transit. A request that has already been
+  // received is read and handled. For a request received later, the closed
+  // socket resets the connection, so that the caller can infer that the request
+  // was not run. A request read after the close would get no response.
   if (socket_ != nullptr) socket_->ReadNow();
   if (socket_ == nullptr || busy_ || reading_ || !unparsed_.empty()) return;
   // Guard: a reset would discard the part of the last response that the caller
--- a/libs/http/src/tcp_socket.cc
+++ b/libs/http/src/tcp_socket.cc
@@ -20,9 +20,9 @@
 
 namespace {
 
-/** Time after which unacknowledged bytes end a connection. Longer than three
- * retransmissions on a lossy link take, shorter than the 3 s in which a machine
- * is expected to recover. */
+/** Time after which unacknowledged bytes end a connection. It allows for three
+ * retransmissions on a lossy link and is shorter than the 3 s within which a
+ * machine is expected to recover. */
 constexpr int kUserTimeoutMs = 2500;
 /** Keep-alive probes: idle time before the first, interval and number. */
 constexpr int kKeepAliveIdleS = 1;
@@ -221,9 +221,9 @@
 void TcpSocket::CloseAfterFlush() {
   if (fd_ < 0 || closing_) return;
   closing_ = true;
-  // The owner may be destroyed before the last bytes are sent. The callbacks
-  // are kept until the socket is deleted, as this call may come from one of
-  // them.
+  // The socket has no parent from here on, because its owner may be destroyed
+  // before the last bytes are sent. The callbacks are kept until the socket is
+  // deleted, because one of them may be the caller of this function.
   setParent(nullptr);
   if (unsent() == 0) return FinishClose();
   utils::DecisionLog("close_waits").Add("unsent", unsent());
--- a/libs/insight/include/turmeric/insight/control_plane_report.h
+++ b/libs/insight/include/turmeric/insight/control_plane_report.h
@@ -27,12 +27,13 @@
   std::string Render() const;
 
  private:
-  /** When and from where all instances received one version. */
+  /** Times at which instances put one configuration version into force, and
+   * number of instances by source of the version. */
   struct Version {
     std::chrono::milliseconds first = std::chrono::milliseconds::max();
     std::chrono::milliseconds last{0};
-    int64_t from_store = 0;  ///< Instances that read it from the store.
-    int64_t from_peers = 0;  ///< Instances that received it from a peer.
+    int64_t from_store = 0;  ///< Instances with the store as source.
+    int64_t from_peers = 0;  ///< Instances with a peer as source.
   };
   /** One event of an instance, formatted for the report. */
   struct Line {
--- a/libs/insight/include/turmeric/insight/request_outcome_report.h
+++ b/libs/insight/include/turmeric/insight/request_outcome_report.h
@@ -54,7 +54,8 @@
     int64_t requests = 0;
     int64_t within_target = 0;
     std::map<DelayCause, int64_t> late;
-    std::map<std::string, int64_t> lost;  ///< Failures by status and outcome.
+    /** Requests refused or failed, by status and outcome. */
+    std::map<std::string, int64_t> lost;
   };
 
   void AddCall(const LogEvent& event);
--- a/libs/insight/src/crash_report.cc
+++ b/libs/insight/src/crash_report.cc
@@ -9,8 +9,9 @@
 
 namespace {
 
-/** Fingerprints with fewer upstreams that broke off are not shown: most of them
- * only happened to run on an upstream that stopped for another reason. */
+/** Smallest number of upstreams that broke off for a fingerprint to be shown.
+ * Most fingerprints with fewer were running on an upstream that stopped for
+ * another reason. */
 constexpr size_t kMinUpstreams = 2;
 constexpr int64_t kHttpServiceUnavailable = 503;
 
--- a/libs/insight/test/control_plane_report_test.cc
+++ b/libs/insight/test/control_plane_report_test.cc
@@ -6,9 +6,10 @@
 using turmeric::insight::ControlPlaneReport;
 using turmeric::insight::ParseLogLine;
 
-// Guards against a report that cannot explain a 404 for a route that other
-// instances serve: the operator needs the time at which each instance put the
-// version with the route into force, and the source of that version.
+// An instance answers 404 for a route that other instances serve. To find the
+// cause, an operator needs the time at which each instance put the
+// configuration version with the route into force, and the source of the
+// version; the report must show both.
 TEST_CASE("the report shows when and from where a version came into force") {
   ControlPlaneReport report;
   const auto add = [&](const std::string& line) {
--- a/libs/peer/include/turmeric/peer/frame.h
+++ b/libs/peer/include/turmeric/peer/frame.h
@@ -43,10 +43,14 @@
 /** Requests a placement, the choice of an engine for a request, from the
  * instance that places the requests of a cell. */
 struct PlacementOrder {
-  uint64_t ticket = 0;       ///< Unique within one process incarnation.
-  std::string service;       ///< Name of a cell of an engine service.
-  std::string shared_part;   ///< Id of the prompt's first part; empty: none.
-  std::string session_part;  ///< Id of the part shared within the session.
+  uint64_t ticket = 0;  ///< Unique within one process incarnation.
+  std::string service;  ///< Name of a cell of an engine service.
+  /** Id of the first part of the prompt, which many requests share; empty:
+   * none. */
+  std::string shared_part;
+  /** Id of the prompt part shared only by requests of one session; empty:
+   * none. */
+  std::string session_part;
   int shared_tokens = 0;
   int session_tokens = 0;
   int prompt_tokens = 0;  ///< Tokens of the whole prompt.
@@ -119,7 +123,8 @@
 };
 
 /** Subscribes the sender to the store changes that the receiver relays. The
- * sender renews it every second or two; otherwise the subscription expires. */
+ * sender renews the subscription every second or two; otherwise the
+ * subscription expires. */
 struct FollowRequest {
   bool wanted = true;   ///< False ends the subscription.
   bool resync = false;  ///< Send all changes after `known`.
@@ -135,16 +140,16 @@
   /** Elapsed time since the store's last outage ended; nullopt: no outage is
    * known. */
   std::optional<std::chrono::milliseconds> outage_ended;
-  StoreRevisions known;  ///< The sender has all changes up to these.
+  StoreRevisions known;  ///< Revisions up to which the sender has all changes.
   /** Elapsed time since the sender was last known to have all configurations
-   * that the store had accepted; nullopt: it never was. */
+   * that the store had accepted; nullopt: the sender was never known to. */
   std::optional<std::chrono::milliseconds> config_age;
 };
 
 /** One message between two instances. */
 struct Frame {
   std::string sender;         ///< Identity; set in the first frame only.
-  uint64_t sequence = 0;      ///< Not 0: requests an acknowledgement.
+  uint64_t sequence = 0;      ///< 0: no acknowledgement is requested.
   uint64_t acknowledged = 0;  ///< Highest sequence received.
   bool leaving = false;       ///< The sender has begun a planned stop.
   std::vector<PieceOrder> pieces;
--- a/libs/peer/include/turmeric/peer/peer_link.h
+++ b/libs/peer/include/turmeric/peer/peer_link.h
@@ -15,9 +15,9 @@
 /**
  * One connection between two instances. Messages queued in one iteration of the
  * event loop are sent as one frame. The event loop of the peer instance
- * acknowledges each frame with orders. If the acknowledgement times out, the
- * link ends: the TCP connection of an instance that is frozen or unreachable
- * stays open for seconds.
+ * acknowledges each frame that contains orders. If an acknowledgement times
+ * out, the link ends without waiting for TCP, because the TCP connection of a
+ * frozen or unreachable instance stays open for seconds.
  */
 class PeerLink : public QObject {
  public:
--- a/libs/peer/src/frame.cc
+++ b/libs/peer/src/frame.cc
@@ -354,8 +354,9 @@
 
 std::optional<Frame> Decode(std::span<const uint8_t> bytes,
                             Clock::time_point now) {
-  // Guard: any process on the network can connect to this port, so the bytes
-  // are untrusted. The verifier checks every offset before it is followed.
+  // Guard: any process on the network can connect to the peer port, so the
+  // bytes are untrusted. The verifier checks every offset before it is
+  // followed.
   flatbuffers::Verifier verifier(bytes.data(), bytes.size());
   if (!wire::VerifyFrameBuffer(verifier)) return std::nullopt;
   const wire::Frame& f = *wire::GetFrame(bytes.data());
--- a/libs/peer/src/peer_link.cc
+++ b/libs/peer/src/peer_link.cc
@@ -15,9 +15,10 @@
 /** Timeout of the TCP handshake; instances are a few milliseconds apart. */
 constexpr milliseconds kConnectTimeout{300};
 /** Timeout of an acknowledgement. An instance with a small CPU quota may be
- * paused for 100 ms, a slow one for longer. */
+ * paused for 100 ms, a slow instance for longer. */
 constexpr milliseconds kAckTimeout{450};
-/** Largest frame accepted; a longer length prefix is not from an instance. */
+/** Largest frame accepted. A length prefix with a larger value is assumed not
+ * to be from an instance and ends the link. */
 constexpr uint32_t kMaxFrameBytes = 16 * 1024 * 1024;
 
 using LengthBytes = std::array<char, sizeof(uint32_t)>;
--- a/libs/standins/include/turmeric/standins/engine_standin.h
+++ b/libs/standins/include/turmeric/standins/engine_standin.h
@@ -15,10 +15,10 @@
 
 /** Latency model of the stand-in engine. */
 struct EngineLatencyModel {
-  double prefill_us_per_char = 20;  ///< Cost of an uncached prefix.
-  double token_ms = 2.0;            ///< Decode step of an empty batch.
-  int batch_capacity = 16;  ///< Batch size at which a decode step doubles.
-  int prefix_cache_entries = 256;  ///< Capacity of the LRU prefix cache.
+  double prefill_us_per_char = 20;  ///< Prefill time if uncached.
+  double token_ms = 2.0;            ///< Decode step time without load.
+  int batch_capacity = 16;          ///< Batch size that doubles the step time.
+  int prefix_cache_entries = 256;   ///< Capacity of the LRU prefix cache.
   int load_report_ms = 200;  ///< Update interval of the reported queue depth.
 };
 
--- a/libs/standins/src/platform_standin.cc
+++ b/libs/standins/src/platform_standin.cc
@@ -85,8 +85,8 @@
   faults_ = faults;
   store_->SetFaults(faults.store);
   if (!silence_ended) return;
-  // Events were dropped during the silence. Each watch is aborted, so that no
-  // client takes its stream for complete.
+  // Events were dropped while the stand-in was silent. Each watch is aborted,
+  // so that no client treats its stream as complete.
   unanswered_.clear();  // closes the connections
   for (const auto& w : std::exchange(watches_, {})) {
     store_->CancelWatch(w->id);
--- a/libs/utils/include/turmeric/utils/decision_log.h
+++ b/libs/utils/include/turmeric/utils/decision_log.h
@@ -15,8 +15,8 @@
  */
 class DecisionLog {
  public:
-  /** Lines per second; about ten lines for each request that one small instance
-   * serves per second under load. */
+  /** Limit on log lines per second. It allows about ten lines per request at
+   * the request rate of a small instance under load. */
   static constexpr int kMaxLinesPerSecond = 200;
 
   /** @param event name of the event, snake_case. */
--- a/libs/utils/test/trace_test.cc
+++ b/libs/utils/test/trace_test.cc
@@ -21,9 +21,9 @@
 }
 
 TEST_CASE("malformed traceparent headers are refused") {
-  // Guards against propagating an invalid trace context to upstreams: without a
-  // parsed context, a request starts a new trace. The values are truncated,
-  // upper-case and all-zero.
+  // Guards against propagating an invalid trace context to upstreams. If the
+  // header is refused, the request starts a new trace. The malformed values are
+  // truncated, upper-case and all-zero.
   CHECK_FALSE(ParseTraceparent("00-abc"));
   CHECK_FALSE(ParseTraceparent(
       "00-0AF7651916CD43DD8448EB211C80319C-b7ad6b7169203331-01"));
