--- a/tools/turmericctl/balancer.h
+++ b/tools/turmericctl/balancer.h
@@ -28,7 +28,8 @@
  private:
   struct Target {
     QString url;
-    /** Starts out of rotation, until the first successful probe. */
+    /** Failed probes in a row. The initial value keeps a target out of rotation
+     * until its first successful probe. */
     int failed_probes = 2;
     bool probing = false;
   };
--- a/tools/turmericctl/explain_command.h
+++ b/tools/turmericctl/explain_command.h
@@ -10,8 +10,8 @@
  * logs of a fleet. Without a report name, reports which stage services limit
  * the throughput and how requests are lost; with "control", when and by which
  * path each instance applied each configuration; with "crashes", which requests
- * ran on several upstreams that broke off. Reads standard input for "-" or if
- * no file is given.
+ * were running on at least two upstreams whose connections broke off. Reads
+ * standard input for "-" or if no file is given.
  * @param words command line arguments after "explain".
  * @return process exit code; 2 if a file cannot be read.
  */
--- a/tools/turmericctl/load_runner.cc
+++ b/tools/turmericctl/load_runner.cc
@@ -87,7 +87,8 @@
     const QJsonObject o = QJsonDocument::fromJson(body).object();
     r.error = o.value("error").toString().toStdString();
     r.state = o.value("state").toString().toStdString();
-    // An engine that is called directly answers with "text".
+    // The answer of an engine to a direct call contains "text" instead of
+    // "output" and "state".
     if (o.contains("text")) r.state = "ran";
     const std::string output =
         (o.contains("text") ? o.value("text") : o.value("output"))
@@ -110,9 +111,9 @@
         error != QNetworkReply::OperationCanceledError) {
       r.cut_ports.push_back(QUrl(req.url).port());
     }
-    // Retries a request that did not run or whose outcome is unknown, the
-    // latter under the same idempotency key, after the delay that the answer
-    // states.
+    // Retries a request whose state is not "ran", after the delay that the
+    // answer states, or at once after a transport error. MixRequest() gives all
+    // attempts the same idempotency key, since the outcome may be unknown.
     const int after_ms = o.value("retry_after_ms").toInt(transport ? 0 : -1);
     const bool retryable = after_ms >= 0 && r.state != "ran";
     if (retryable && open->attempt < max_retries_ &&
--- a/tools/turmericctl/routing_scenario.cc
+++ b/tools/turmericctl/routing_scenario.cc
@@ -44,7 +44,7 @@
 /** Faults of the upstreams while a variant is measured. */
 enum class UpstreamFaults {
   kSlowAndDead,  ///< One retriever is 20 times slower, one reranker dead.
-  kStalls,       ///< Every service stalls on 3 calls in 100.
+  kStalls,       ///< Every service takes 20 times as long for 3 % of calls.
 };
 
 void ApplyFaults(UpstreamFaults faults,
--- a/tools/turmericctl/slopes_scenario.cc
+++ b/tools/turmericctl/slopes_scenario.cc
@@ -1,7 +1,7 @@
 // `turmericctl load --scenario=slopes`, run by scripts/fleet.sh: CPU time of
 // one instance per request, for requests that differ in stages and streamed
-// tokens. Read from /metrics of the instance; the figures are for
-// docs/CAPACITY.md.
+// tokens. The CPU time is read from /metrics of the instance. The figures are
+// meant for docs/CAPACITY.md.
 #include <gflags/gflags.h>
 
 #include <QJsonArray>
--- a/tools/turmericctl/traffic_mix.h
+++ b/tools/turmericctl/traffic_mix.h
@@ -27,14 +27,14 @@
  * @param base_url of an instance.
  * @param run index of the run; keeps idempotency keys of runs apart.
  * @param index of the logical request.
- * @return HTTP request for it.
+ * @return HTTP request for the logical request.
  */
 LoadRequest MixRequest(const QString& base_url, int run, int index);
 
 /**
  * @param run index of the run.
  * @param index of the logical request.
- * @return key that upstreams receive with its non-idempotent calls.
+ * @return key that upstreams receive with non-idempotent calls of the request.
  */
 std::string MixKey(int run, int index);
 
--- a/tools/turmericctl/verdict.h
+++ b/tools/turmericctl/verdict.h
@@ -34,7 +34,7 @@
  * @param results of the traffic mix.
  * @param run index of the run.
  * @param platform with the stand-ins.
- * @return the verdict; sent_to_leaving is left to the scenario.
+ * @return the verdict, in which the caller has to set sent_to_leaving.
  */
 Verdict CheckDelivery(const std::vector<LoadResult>& results, int run,
                       const gateway::EmbeddedPlatform& platform);
