--- a/libs/entry/include/turmeric/entry/cold_limiter.h
+++ b/libs/entry/include/turmeric/entry/cold_limiter.h
@@ -16,11 +16,11 @@
 /**
  * Limits the rate at which the fleet sends requests to one upstream to the rate
  * that the upstream can serve while it is cold (slow, and overloaded by few
- * requests). An upstream may turn cold at any moment, and instances learn of it
- * with a delay. Therefore the limit always applies where one owner chooses for
- * all instances. For services whose upstreams each instance chooses for itself,
- * it applies while an upstream is known to be cold. The current time is passed
- * in by the caller.
+ * requests). An upstream may become cold at any moment, and instances detect
+ * this with a delay. Therefore the limit always applies where one owner chooses
+ * for all instances. For services whose upstreams each instance chooses for
+ * itself, it applies while an upstream is known to be cold. The current time is
+ * passed in by the caller.
  */
 class ColdLimiter {
  public:
--- a/libs/entry/include/turmeric/entry/drain_policy.h
+++ b/libs/entry/include/turmeric/entry/drain_policy.h
@@ -7,8 +7,8 @@
 /** Deadlines of a planned stop. */
 struct StopSchedule {
   /**
-   * Time by which each request must have its final answer or a stream that
-   * delivers events.
+   * Time at which each open request receives its final answer, unless the
+   * response is a stream that has already begun.
    */
   std::chrono::steady_clock::time_point last_answers;
   /** Time at which the process exits, even with open requests. */
@@ -17,7 +17,7 @@
 
 /**
  * @param began when the stop began.
- * @param grace time from then to the kill.
+ * @param grace time from `began` until the process is killed.
  * @return the schedule of the stop.
  */
 StopSchedule ScheduleStop(std::chrono::steady_clock::time_point began,
@@ -29,7 +29,7 @@
  * it is refused at once, the caller receives it whole from another instance.
  * @param is_long true for streams and requests with stages, which take seconds.
  * @param since_stop time since the stop began.
- * @param grace time from the start of the stop to the kill.
+ * @param grace time from the start of the stop until the process is killed.
  * @return true if the request is expected to end before the process exits.
  */
 bool AcceptsWhileStopping(bool is_long, std::chrono::milliseconds since_stop,
--- a/libs/entry/include/turmeric/entry/engine_placer.h
+++ b/libs/entry/include/turmeric/entry/engine_placer.h
@@ -20,9 +20,9 @@
 
 /**
  * Finds engines for the requests of this instance: sends a placement order to
- * the instance that owns the cell and sees the load of all instances. If the
- * owner does not respond in time, chooses an engine from the state known to
- * this instance.
+ * the instance that owns the cell and therefore knows the load caused by all
+ * instances. If the owner does not respond in time, chooses an engine from the
+ * state known to this instance.
  */
 class EnginePlacer : public QObject {
  public:
--- a/libs/entry/include/turmeric/entry/instance_directory.h
+++ b/libs/entry/include/turmeric/entry/instance_directory.h
@@ -20,8 +20,9 @@
 class InstanceDirectory : public QObject {
  public:
   /**
-   * Called after each read with the list, which always includes this instance,
-   * and with whether the store's list contains it.
+   * Called after each read of the list. The first argument is the list, with
+   * the current entry of this instance added if it is missing; `listed` is true
+   * if the store's list contains this entry.
    */
   using ChangeCallback = std::function<void(const Instances&, bool listed)>;
 
--- a/libs/entry/include/turmeric/entry/placement_coordinator.h
+++ b/libs/entry/include/turmeric/entry/placement_coordinator.h
@@ -13,9 +13,9 @@
 
 /**
  * Places the requests of all instances on the engines of the cells that this
- * instance owns. A cell is a shard of an engine service.
- * In a large fleet, each instance sees only a small part of the load of an
- * engine. If each instance chose engines by its own view, many would choose the
+ * instance owns. A cell is a shard of an engine service. In a large fleet, each
+ * instance observes only a small part of the load of an engine. If each
+ * instance chose engines by this part alone, many instances would choose the
  * same engines: requests would wait for about a second there while other
  * engines are idle.
  */
--- a/libs/entry/include/turmeric/entry/quarantine_archive.h
+++ b/libs/entry/include/turmeric/entry/quarantine_archive.h
@@ -18,8 +18,8 @@
  * Keeps the crashes of quarantined requests in the platform's store, for
  * instances that cannot receive them from others: after a restart of the whole
  * fleet, or without a link to the others. The store is read at the start and
- * after a crash that this instance has seen. It is not watched, so that a fleet
- * without crashes makes no calls.
+ * after a crash that this instance has detected. The store is not watched, so
+ * that a fleet without crashes makes no calls.
  */
 class QuarantineArchive : public QObject {
  public:
--- a/libs/entry/include/turmeric/entry/request_quarantine.h
+++ b/libs/entry/include/turmeric/entry/request_quarantine.h
@@ -36,9 +36,9 @@
 };
 
 /**
- * Quarantines requests that crash the upstreams which run them: records the
- * requests in flight on an upstream that has ended, sends the crashes to all
- * other instances, and keeps the quarantined requests in the platform's store.
+ * Quarantines requests that crash their upstreams: records the requests in
+ * flight on an upstream that has ended, sends the crashes to all other
+ * instances, and keeps the quarantined requests in the platform's store.
  * CrashLedger makes the decisions; this class connects it to the probe of
  * upstreams, the other instances and the store.
  */
--- a/libs/entry/include/turmeric/entry/request_run.h
+++ b/libs/entry/include/turmeric/entry/request_run.h
@@ -122,8 +122,8 @@
   routing::RouteTablePtr table_;  ///< Keeps `route_` alive.
   const routing::Route* route_ = nullptr;
   Admission admission_;
-  /** Whether the configuration in force is the latest of the store; none: not
-   * checked, as no final refusal depended on it. */
+  /** Whether the configuration in force is the latest of the store; nullopt:
+   * not checked, because no final refusal depended on it. */
   std::optional<bool> config_is_latest_;
   std::string fingerprint_;  ///< Equal for all copies of the request.
   std::string service_;
--- a/libs/entry/include/turmeric/entry/revision_gossip.h
+++ b/libs/entry/include/turmeric/entry/revision_gossip.h
@@ -10,9 +10,10 @@
 
 /**
  * Exchanges the revisions of the newest store changes with every frame between
- * any two instances. An instance whose watch or relays were lost unnoticed
- * learns from the next frame of any peer instance that it is behind, and asks
- * the store. The changes themselves are passed on by StoreRelay.
+ * any two instances. An instance that has lost its watch or its relays without
+ * detecting the loss finds a newer revision in the next frame of any peer
+ * instance, and then queries the store. StoreRelay passes on the changes
+ * themselves.
  */
 class RevisionGossip {
  public:
--- a/libs/entry/include/turmeric/entry/stage_run.h
+++ b/libs/entry/include/turmeric/entry/stage_run.h
@@ -32,7 +32,7 @@
   const routing::Route& route;
   std::string fingerprint;  ///< Fingerprint of the request.
   int rank = 0;             ///< Urgency class of the pieces, 0 first.
-  /** When the response is due by the latency target. */
+  /** Time at which the response is due according to the latency target. */
   stages::Clock::time_point due;
   /** Latest time of the response's first byte. */
   stages::Clock::time_point deadline;
--- a/libs/entry/include/turmeric/entry/topology_feed.h
+++ b/libs/entry/include/turmeric/entry/topology_feed.h
@@ -46,8 +46,8 @@
   void Start();
   /**
    * Sets whether this instance watches the store.
-   * @param watch false: changes come from other instances; the store is only
-   *     asked for changes that they lack.
+   * @param watch false: changes come from other instances; the store is queried
+   *     only for changes that these instances lack.
    * @param slow_retry see store::Reflector::set_slow_retry.
    */
   void Watch(bool watch, bool slow_retry);
@@ -65,8 +65,8 @@
    */
   void Merge(const std::string& source, const peer::StoreChanges& changes);
   /**
-   * Asks the store once for a newer configuration, and puts it into force.
-   * @param done called with whether the configuration in force is the store's
+   * Queries the store once for a newer configuration and applies it.
+   * @param done called with true if the configuration in force is the store's
    *     latest.
    */
   void FetchConfig(std::function<void(bool is_latest)> done);
--- a/libs/entry/include/turmeric/entry/usual_deadlines.h
+++ b/libs/entry/include/turmeric/entry/usual_deadlines.h
@@ -14,9 +14,9 @@
  * states less than is usual for the route. Its latency target still counts from
  * its first attempt. Without the distinction, under sustained overload retrying
  * callers would be served before callers that can still be served in time, and
- * then both would be late. A caller with a much shorter deadline than others is
- * treated as retrying: it is served after new callers, but only while there are
- * more requests than can be served in time.
+ * both would be served too late. A caller with a much shorter deadline than
+ * others is treated as retrying: it is served after new callers, but only while
+ * there are more requests than can be served in time.
  */
 class UsualDeadlines {
  public:
--- a/libs/entry/src/follow_policy.cc
+++ b/libs/entry/src/follow_policy.cc
@@ -12,8 +12,8 @@
 namespace {
 
 /**
- * A relay sends its status every second; one that has missed two is frozen, cut
- * off or has exited.
+ * A relay sends its status every second; one that has missed two is frozen,
+ * disconnected or has exited.
  */
 constexpr milliseconds kStatusTimeout{2200};
 /**
@@ -42,8 +42,8 @@
 /**
  * A relay receives an answer from the store at the end of each watch and
  * reports it with the next heartbeat. If no relay has reported an answer for
- * this much longer than a watch waits, the relays' connections to the store may
- * be dead, so every follower watches the store itself.
+ * this much longer than a watch waits, the relays may have lost their
+ * connections to the store, so every follower watches the store itself.
  */
 constexpr milliseconds kStoreAnswerMargin{2000};
 
@@ -81,7 +81,7 @@
     return now - source.requested_at > kFirstAnswerTimeout ? Fault::kNoAnswer
                                                            : Fault::kNone;
   }
-  // An instance that is frozen or cut off from the network keeps its TCP
+  // An instance that is frozen or disconnected from the network keeps its TCP
   // connections open. Its followers would apply an outdated configuration until
   // it resumes, long after other instances have the new one.
   if (now - *source.last_status_at > kStatusTimeout) return Fault::kSilent;
--- a/libs/entry/src/request_quarantine.cc
+++ b/libs/entry/src/request_quarantine.cc
@@ -19,14 +19,14 @@
 
 namespace {
 
-/** Interval at which lapsed crashes are dropped. */
+/** Interval at which expired crashes are dropped. */
 constexpr milliseconds kExpireInterval{30000};
 /** Sources of crashes in log lines, besides names of instances. */
 constexpr std::string_view kSourceThisInstance = "own";
 constexpr std::string_view kSourceStore = "store";
-/** Requests with fewer crashes are not sent to an instance that starts: most of
- * those with one crash only ran on an upstream that ended for another reason.
- */
+/** Minimum number of crashes of a request for its crashes to be sent to an
+ * instance that starts. Most requests with a single crash only ran on an
+ * upstream that ended for another reason. */
 constexpr size_t kMinCrashes = 2;
 
 }  // namespace
--- a/libs/entry/src/retry_after.cc
+++ b/libs/entry/src/retry_after.cc
@@ -12,7 +12,7 @@
 constexpr milliseconds kImmediateDelay{10};
 /** Half the duration of a stage call, or two requests without stages. */
 constexpr milliseconds kShortDelay{150};
-/** The first ejection of a failing upstream has ended after this delay. */
+/** Equal to the duration of the first ejection of a failing upstream. */
 constexpr milliseconds kLongDelay{500};
 /** An overload lasts seconds, and a retry during it is refused too. The request
  * misses its latency target in any case, so it is retried once, after the
--- a/libs/entry/src/stage_router.cc
+++ b/libs/entry/src/stage_router.cc
@@ -18,8 +18,8 @@
 namespace {
 
 /**
- * How many times a piece may move to another shard because its shard has no
- * upstreams left.
+ * Number of times that a piece may move to another shard because its shard has
+ * no upstreams left.
  */
 constexpr int kMaxShardMoves = 3;
 
--- a/libs/entry/src/topology_feed.cc
+++ b/libs/entry/src/topology_feed.cc
@@ -22,15 +22,15 @@
 namespace {
 
 /**
- * After an outage of the store of this length, entries may have lapsed although
- * their processes run: a process renews its entry every second or so, and three
- * missed renewals remove it.
+ * After an outage of the store of this length, entries may have expired
+ * although their processes run: a process renews its entry every second or so,
+ * and three missed renewals remove it.
  */
 constexpr milliseconds kShortOutage{1000};
-/** Interval of checks for lapsed entries. */
+/** Interval of checks for expired entries. */
 constexpr milliseconds kExpireInterval{100};
 /**
- * Time within which an entry of an older copy of the store lapses if its
+ * Time within which an entry of an older copy of the store expires if its
  * process no longer exists: three missed heartbeats of a second or more.
  */
 constexpr milliseconds kCopiedEntryLifetime{5000};
@@ -273,7 +273,8 @@
 }
 
 // If a followed relay has received answers from the store, only this instance
-// was cut off: no entries have lapsed, and missing ones were really removed.
+// was disconnected from the store: no entries have expired, and entries missing
+// from the list were removed.
 milliseconds TopologyFeed::NoteOutage(milliseconds outage) {
   if (relayed_store_age_) outage = std::min(outage, relayed_store_age_());
   if (outage > kShortOutage) NoteOutageEnded(Clock::now());
@@ -367,7 +368,7 @@
 }
 
 TopologyFeed::Clock::time_point TopologyFeed::KeepUntil() const {
-  // Entries lapse during an outage of the store although their processes run.
+  // Entries expire during an outage of the store although their processes run.
   // If they were removed at once, a whole service could be without upstreams
   // when the store returns. Processes that run renew their entries within the
   // grace period.
--- a/libs/entry/test/cold_fleet_test.cc
+++ b/libs/entry/test/cold_fleet_test.cc
@@ -37,11 +37,11 @@
 struct Node {
   std::string name;
   std::unique_ptr<ColdLimiter> limiter;
-  /** The engines as the instance sees them. */
+  /** The state of the engines known to the instance. */
   std::vector<UpstreamPtr> engines;
-  /** The instance is not running until then. */
+  /** Time until which the instance is not running. */
   Clock::time_point restarting_until;
-  /** The instance is cut off from all others until then. */
+  /** Time until which the instance is disconnected from all other instances. */
   Clock::time_point isolated_until;
   /** When the instance reads the list of instances. */
   Clock::time_point listed_at;
@@ -201,9 +201,9 @@
 
 }  // namespace
 
-// Guards against crashing an upstream that turns cold during a burst of
-// requests with one prompt: instances that send to it without knowing of the
-// sends of each other, for example after a change of the owner, could together
+// Guards against crashing an upstream that becomes cold during a burst of
+// requests with one prompt: instances that send to it without information about
+// each other's sends, for example after a change of the owner, could together
 // exceed the rate that it can serve while cold.
 TEST_CASE(
     "cold limit: the fleet never exceeds the arrival bound of an engine") {
--- a/libs/entry/test/crash_fleet_test.cc
+++ b/libs/entry/test/crash_fleet_test.cc
@@ -164,7 +164,7 @@
 }  // namespace
 
 // Guards against a request that crashes engine after engine until none is left,
-// and against refusing requests that ran beside it.
+// and against refusing requests that ran on the same engines.
 TEST_CASE("requests that crash engines are stopped, others are served") {
   int harmless = 0;
   int harmless_refused = 0;
--- a/libs/entry/test/follow_policy_test.cc
+++ b/libs/entry/test/follow_policy_test.cc
@@ -167,8 +167,8 @@
   }
 }
 
-// Guards against relays whose connections to the store are all dead and which
-// are followed for longer than a change may take.
+// Guards against following, for longer than a change may take, relays that have
+// all lost their connections to the store.
 TEST_CASE("followers watch the store when the relays' watches are overdue") {
   Follower follower;
   follower.situation.watch_wait = 3s;
--- a/libs/entry/test/relay_protocol_test.cc
+++ b/libs/entry/test/relay_protocol_test.cc
@@ -463,7 +463,8 @@
 // Instances freeze and resume, restart and lose their connections while the
 // store changes. Each instance always holds the contents of the store at some
 // revision, this revision never decreases, and an instance without recent
-// faults knows every change within the bound, whatever faults its relays had.
+// faults receives every change within the bound, whatever faults its relays
+// had.
 TEST_CASE("a change reaches undisturbed instances within its bound") {
   REQUIRE(rc::check("freezes, restarts and resets", [] {
     FleetSimulation sim(*rc::gen::inRange(2, 9),
@@ -472,8 +473,9 @@
   }));
 }
 
-// As above, with instances, also relays, that lose only their path to the
-// store: once the faults are over, all instances know all changes.
+// In addition to the faults of the preceding test, instances, including relays,
+// lose only their connection to the store. Once the faults are over, all
+// instances hold all changes.
 TEST_CASE("after faults of the store all instances are up to date") {
   REQUIRE(rc::check("faults of the store as well", [] {
     FleetSimulation sim(*rc::gen::inRange(2, 9),
--- a/libs/entry/test/request_admission_test.cc
+++ b/libs/entry/test/request_admission_test.cc
@@ -174,8 +174,8 @@
 }
 
 // Guards against stages that are planned beyond the end of the process: a
-// stopping instance admits a chat with a time limit of 20 s and finds out only
-// at its exit that the stages are late.
+// stopping instance admits a chat with a time limit of 20 s and detects only at
+// its exit that the stages are late.
 TEST_CASE("while stopping, an answer must begin before the process ends") {
   RouteTable table = MakeTable();
   for (Route& route : table.routes) route.timeout = 20s;
--- a/libs/entry/test/store_relay_test.cc
+++ b/libs/entry/test/store_relay_test.cc
@@ -68,8 +68,8 @@
 }
 
 // Guards against missed changes when a follower switches from a failed relay
-// and knows an earlier revision than this relay keeps: it must detect the gap
-// and not apply the next changes alone.
+// and holds a revision older than those that this relay keeps. The follower
+// must detect the gap and not apply the next changes alone.
 TEST_CASE("a follower that is too far behind receives a gap") {
   Relay r;
   r.Merge(10, 12, "a");
--- a/libs/quarantine/include/turmeric/quarantine/crash.h
+++ b/libs/quarantine/include/turmeric/quarantine/crash.h
@@ -10,7 +10,7 @@
 
 /** The end of an upstream process while it had a request in flight. */
 struct Crash {
-  std::string fingerprint;  ///< Of the request.
+  std::string fingerprint;  ///< Fingerprint of the request.
   std::string service;      ///< Service of the upstream.
   std::string upstream;     ///< Identifies one start of the process.
   Clock::time_point at;
@@ -21,7 +21,7 @@
 
 /** The complete run of a request on an upstream. */
 struct GoodRun {
-  std::string fingerprint;  ///< Of the request.
+  std::string fingerprint;  ///< Fingerprint of the request.
   std::string service;      ///< Service of the upstream.
   Clock::time_point at;
 };
--- a/libs/quarantine/include/turmeric/quarantine/crash_ledger.h
+++ b/libs/quarantine/include/turmeric/quarantine/crash_ledger.h
@@ -27,7 +27,8 @@
 class CrashLedger {
  public:
   /** @param crash observed by this instance or received from another one.
-   * @return true if it is new and counts, see CrashesOf. */
+   * @return true if the crash is newly recorded and is later than the last
+   * complete run of its request at the same service. */
   bool Record(const Crash& crash);
   /** @param run observed by this instance or received from another one.
    * @return true if recorded crashes of the request no longer count because of
@@ -37,9 +38,10 @@
   /** @param fingerprint of a request. @return number of its crashes that count,
    * see CrashesOf. */
   int crash_count(std::string_view fingerprint) const;
-  /** @param fingerprint of a request. @return true if one upstream crashed at
-   * the start of its run, or two after progress. Suspect requests run on
-   * different upstreams, which separates the cause from the others. */
+  /** @param fingerprint of a request. @return true if at least one upstream
+   * crashed before the first part of the answer, or at least two after it.
+   * Suspect requests are sent to different upstreams, so that harmless ones do
+   * not run next to the request that causes the crashes. */
   bool IsSuspect(std::string_view fingerprint) const;
   /**
    * @param fingerprint of a request. @param now current time.
@@ -56,17 +58,19 @@
   std::vector<Crash> CrashesOf(std::string_view fingerprint) const;
   /** @param now current time. @return number of quarantined requests. */
   size_t quarantined_count(Clock::time_point now) const;
-  /** Drops records that have lapsed. @param now current time. */
+  /** Drops expired records. @param now current time. */
   void Expire(Clock::time_point now);
   /** @return number of requests with a recorded crash. */
   size_t size() const { return records_.size(); }
 
  private:
   struct RequestRecord {
-    std::map<std::string, Crash> crashes;                ///< By upstream.
-    std::map<std::string, Clock::time_point> good_runs;  ///< By service.
+    std::map<std::string, Crash> crashes;  ///< By upstream.
+    /** Times of the last complete runs, by service. */
+    std::map<std::string, Clock::time_point> good_runs;
 
-    /** @return true if the request has not completed since the crash. */
+    /** @return true if no upstream of the same service has completed the
+     * request since the crash. */
     bool Counts(const Crash& crash) const;
     /** @return sum of the weights of the crashes that count. */
     int total_weight() const;
--- a/libs/quarantine/include/turmeric/quarantine/stored_crashes.h
+++ b/libs/quarantine/include/turmeric/quarantine/stored_crashes.h
@@ -11,8 +11,9 @@
 
 namespace turmeric::quarantine {
 
-/** Readings of both clocks at the same time. Other processes cannot interpret
- * the steady clock. */
+/** The steady clock and the wall clock read at the same time, to convert
+ * between them. Stored times use the wall clock, because other processes cannot
+ * interpret the steady clock. */
 struct ClockReading {
   Clock::time_point steady;
   std::chrono::system_clock::time_point wall;
--- a/libs/quarantine/src/crash_ledger.cc
+++ b/libs/quarantine/src/crash_ledger.cc
@@ -80,8 +80,8 @@
   const int weight = total_weight();
   if (weight < kQuarantineWeight) return std::nullopt;
   // Guard: an outage ends many upstreams at once, and frequent requests run on
-  // most of them. With a long quarantine they would be refused for minutes, as
-  // no copy could run to clear them.
+  // most of them. With a long quarantine, these requests would be refused for
+  // minutes, because no copy could complete and clear the recorded crashes.
   if (AreSimultaneous()) return last_crash_at() + kOutageQuarantine;
   milliseconds length = kFirstQuarantine;
   for (int more = kQuarantineWeight + kEarlyCrashWeight;
--- a/libs/quarantine/test/stored_crashes_test.cc
+++ b/libs/quarantine/test/stored_crashes_test.cc
@@ -50,7 +50,7 @@
   REQUIRE(read->at(0).at == behind.steady);
 }
 
-// Guards against failures by an object with invalid content.
+// Guards against failures caused by an object with invalid content.
 TEST_CASE("invalid crashes are left out") {
   REQUIRE_FALSE(DecodeCrashes("w", {}, kNow));
   REQUIRE_FALSE(DecodeCrashes("w", {{"crashes", 3}}, kNow));
--- a/libs/routing/include/turmeric/routing/choice.h
+++ b/libs/routing/include/turmeric/routing/choice.h
@@ -78,8 +78,8 @@
 /**
  * @param upstreams of the service. @param request its properties.
  * @param now current time.
- * @return the upstream that would serve the request if all were idle, or
- *     nullptr if it has no affinity or none is usable.
+ * @return the upstream that would serve the request if all upstreams were idle,
+ *     or nullptr if the request has no affinity or no upstream is usable.
  */
 UpstreamPtr HomeUpstream(std::span<const UpstreamPtr> upstreams,
                          const ChoiceRequest& request, Clock::time_point now);
--- a/libs/routing/include/turmeric/routing/evacuated_zones.h
+++ b/libs/routing/include/turmeric/routing/evacuated_zones.h
@@ -17,9 +17,9 @@
  public:
   /** Starts an evacuation. @param zone an availability zone. */
   void Begin(std::string_view zone);
-  /** Ends an evacuation. @param zone an availability zone. @param at when the
-   * zone may be used again: later than now if it is uncertain whether the
-   * evacuation was really taken back. */
+  /** Ends an evacuation. @param zone an availability zone. @param at time from
+   * which the zone may be used again: later than now if it is uncertain whether
+   * the evacuation was revoked. */
   void End(std::string_view zone, Clock::time_point at);
   /** @param now current time. @return the evacuated zones. */
   std::set<std::string, std::less<>> Zones(Clock::time_point now) const;
--- a/libs/routing/include/turmeric/routing/fleet_size.h
+++ b/libs/routing/include/turmeric/routing/fleet_size.h
@@ -11,7 +11,8 @@
 /** The size of the fleet according to one read of its instance list. */
 struct FleetList {
   int instances = 0;  ///< Includes this instance, whether listed or not.
-  /** True if the list has this instance, so that others can see it. */
+  /** True if the list contains this instance, so that other instances can read
+   * its entry. */
   bool self_listed = false;
 };
 
@@ -30,12 +31,12 @@
   /** How long a list stays valid after it was read: two read intervals, so that
    * one read may fail. */
   static constexpr std::chrono::milliseconds kListValidity{22000};
-  /** Time after which every instance that takes a part has read a list with an
-   * instance that joined. */
+  /** Time from the listing of a new instance until every instance that takes a
+   * part of a bound has read a list that contains the new one. */
   static constexpr std::chrono::milliseconds kJoinVisibleAfter =
       kListValidity + std::chrono::milliseconds(5000);
-  /** Time after the first read by which the list has been read in full, even if
-   * it was still being written at first: by a fleet that starts, or after the
+  /** Time after the first read by which a complete list has been read. The list
+   * may be incomplete at the first read, while a fleet starts or after the
    * store has lost entries. */
   static constexpr std::chrono::milliseconds kListSettleTime{8000};
 
--- a/libs/routing/include/turmeric/routing/upstream.h
+++ b/libs/routing/include/turmeric/routing/upstream.h
@@ -58,7 +58,7 @@
   int failures = 0;         ///< Consecutive failed requests.
   double failure_rate = 0;  ///< Moving average, 0 to 1.
   Clock::time_point ejected_until;  ///< Avoided until then, after failures.
-  Clock::time_point full_until;     ///< Avoided until then, after it was full.
+  Clock::time_point full_until;     ///< Avoided until then, after a refusal.
   int connections = 0;              ///< Connections of this instance to it.
 };
 
@@ -99,8 +99,8 @@
 
 /**
  * @param upstream an upstream. @param now current time.
- * @return true if it is ejected or was full a moment ago; such an upstream is
- *     used only if no other is left.
+ * @return true if the upstream is ejected or recently refused a request; such
+ *     an upstream is used only if no other is left.
  */
 bool IsAvoided(const Upstream& upstream, Clock::time_point now);
 
--- a/libs/routing/include/turmeric/routing/upstream_table.h
+++ b/libs/routing/include/turmeric/routing/upstream_table.h
@@ -38,15 +38,15 @@
    * Applies one entry of a store that was restored from an older copy. The
    * entry of an upstream that has left does not add the upstream again, unless
    * the entry is written again or still exists at `until`.
-   * @param entry the entry, as listed. @param until when an entry that its
-   *     process does not renew would have lapsed.
+   * @param entry the entry, as listed. @param until time at which an entry that
+   *     its process does not renew has expired.
    */
   void PutFromCopy(const UpstreamEntry& entry, Clock::time_point until);
   /**
    * Applies the removal of an entry.
-   * @param id of the upstream. @param keep_until the upstream is used until
-   *     then: an entry that lapsed while the store was unreachable may be
-   *     written again.
+   * @param id of the upstream. @param keep_until time until which the upstream
+   *     stays in use: an entry that expired while the store was unreachable may
+   *     be written again.
    */
   void Remove(std::string_view id, Clock::time_point keep_until);
   /**
@@ -98,7 +98,8 @@
 
   LeaveCallback on_leave_;
   std::map<std::string, UpstreamPtr, std::less<>> by_id_;
-  /** When upstreams left recently, by id and process start. */
+  /** Times of the recent removals of upstreams, by upstream id and process
+   * start. */
   std::map<std::pair<std::string, int64_t>, Clock::time_point> departures_;
   /** Unconfirmed entries by upstream id. */
   std::map<std::string, UnconfirmedEntry, std::less<>> unconfirmed_;
--- a/libs/routing/src/choice.cc
+++ b/libs/routing/src/choice.cc
@@ -8,8 +8,8 @@
 
 namespace {
 
-/** Cost of reading a part that an engine does not hold, relative to the time
- * that it takes: the engine's other requests wait meanwhile. */
+/** Cost of reading a part that an engine does not hold, as a factor on the
+ * reading time: the engine's other requests wait during the read. */
 constexpr double kUncachedReadFactor = 2.0;
 /** Preference for the home engine of a session that is not in the prompt
  * memory, as a factor on the time to read its parts: a new owner then sends
--- a/libs/routing/src/placement_tracker.cc
+++ b/libs/routing/src/placement_tracker.cc
@@ -7,8 +7,8 @@
 
 namespace {
 
-/** Age at which a request counts as ended, its end report being lost. Above the
- * longest deadline in use, 20 s. */
+/** Age above which the end report of a request is assumed to be lost and the
+ * request counts as ended. Exceeds the longest deadline in use, 20 s. */
 constexpr std::chrono::seconds kMaxRequestAge{30};
 
 }  // namespace
--- a/libs/routing/src/upstream_table.cc
+++ b/libs/routing/src/upstream_table.cc
@@ -6,8 +6,9 @@
 
 namespace {
 
-/** How long departures are kept: an older copy of the store is some seconds
- * old, and does not list an upstream that left longer ago. */
+/** Time for which removals of upstreams are recorded: an older copy of the
+ * store is some seconds old, and does not list upstreams that were removed
+ * longer ago than this. */
 constexpr std::chrono::minutes kDepartureRetention{2};
 
 }  // namespace
--- a/libs/routing/test/evacuated_zones_test.cc
+++ b/libs/routing/test/evacuated_zones_test.cc
@@ -30,8 +30,8 @@
   REQUIRE(zones.Zones(kNow + 24h).contains("zone-a"));
 }
 
-// Guards against new work for an upstream whose entry is added while its zone
-// is evacuated.
+// Guards against sending new work to an upstream whose entry is added while its
+// zone is evacuated.
 TEST_CASE("present and new upstreams of an evacuated zone get no new work") {
   UpstreamTable table;
   table.Put({.id = "i-1", .service = "app", .address = "a", .zone = "zone-a"});
--- a/libs/routing/test/fleet_size_test.cc
+++ b/libs/routing/test/fleet_size_test.cc
@@ -47,8 +47,8 @@
           kNow + 10s + FleetSize::kJoinVisibleAfter + FleetSize::kListValidity);
 }
 
-// Guards against exceeding the fleet's bound when other instances join while
-// this one cannot read the list.
+// Guards against exceeding the fleet's bound when new instances are listed
+// while this instance cannot read the list.
 TEST_CASE("an instance that cannot read the list takes no part") {
   FleetSize fleet;
   const auto last = ReadListUntil(fleet, 7, kNow, kNow + 60s);
--- a/libs/routing/test/upstream_table_test.cc
+++ b/libs/routing/test/upstream_table_test.cc
@@ -47,10 +47,10 @@
 }
 
 // Guards against two faults after the store was unreachable for some seconds:
-// entries lapse though their processes run, and are missing from the list for a
-// second or two after the store is reachable again. If they are dropped at
-// once, callers get 503 while every upstream is healthy; if they are kept for
-// ever, processes that have ended get work.
+// entries expire although their processes run, and are missing from the list
+// for a second or two after the store is reachable again. If they are dropped
+// at once, callers get 503 while every upstream is healthy; if they are kept
+// for ever, processes that have ended get work.
 TEST_CASE(
     "entries missing after an outage are kept for the grace period only") {
   UpstreamTable table;
@@ -148,8 +148,8 @@
   REQUIRE(table.Find("i-1")->entry.draining);
 }
 
-// Guards against work for an upstream that has left but is listed by a store
-// restored from an older copy.
+// Guards against sending work to an upstream that was removed but is listed by
+// a store restored from an older copy.
 TEST_CASE("an entry of an older copy does not add an upstream that has left") {
   UpstreamTable table;
   const auto now = Clock::time_point(100s);
