--- a/libs/gateway/include/turmeric/gateway/answer_json.h
+++ b/libs/gateway/include/turmeric/gateway/answer_json.h
@@ -19,7 +19,7 @@
  * @param request_id request id, empty for operator calls.
  * @param code result code.
  * @param detail description of the error.
- * @param state whether the request ran, as far as this instance can tell.
+ * @param state whether the request ran, as far as it is known to this instance.
  * @param retry_after_ms Retry-After delay in ms; -1: no retry is advised.
  * @return the JSON body of an error answer.
  */
--- a/libs/gateway/include/turmeric/gateway/pipeline_run.h
+++ b/libs/gateway/include/turmeric/gateway/pipeline_run.h
@@ -82,10 +82,11 @@
 
 /**
  * Runs the stages of one request in order under a single deadline; each stage
- * gets the time that remains. Idempotent stages are retried on another upstream
- * within the pool's retry budget, and hedged (a second call to another
- * upstream, the first complete answer wins) within its hedge budget. A
- * non-idempotent stage is retried only if its call certainly did not run.
+ * gets the time that remains. A call that certainly did not run is retried
+ * without use of the pool's retry budget. Other failed calls are retried only
+ * for idempotent stages and within the retry budget. Idempotent stages are also
+ * hedged (a second call to another upstream, the first complete answer is used)
+ * within the pool's hedge budget.
  * Deletes itself after `on_done`.
  */
 class PipelineRun : public QObject {
--- a/libs/gateway/include/turmeric/gateway/upstream_pools.h
+++ b/libs/gateway/include/turmeric/gateway/upstream_pools.h
@@ -32,7 +32,8 @@
  private:
   struct Pool {
     UpstreamPool pool;
-    std::vector<std::string> applied_addresses;  ///< Sources of the members.
+    /** Addresses of the current members. */
+    std::vector<std::string> applied_addresses;
   };
   UpstreamRef FindOrCreateUpstream(std::string_view address);
 
--- a/libs/gateway/include/turmeric/gateway/upstream_state.h
+++ b/libs/gateway/include/turmeric/gateway/upstream_state.h
@@ -11,8 +11,9 @@
 
 /** How a stage selects among its pool's upstreams. */
 enum class RoutingPolicy {
-  kPowerOfTwo,      ///< Two random upstreams; the shorter queue wins.
-  kPowerOfTwoEwma,  ///< Two random upstreams; the least queue × latency wins.
+  kPowerOfTwo,      ///< Of two random upstreams, that with the shorter queue.
+  kPowerOfTwoEwma,  ///< Of two random upstreams, that with the smaller
+                    ///< product of queue and latency.
   kRoundRobin,      ///< The upstreams in turn; the baseline for comparisons.
 };
 
@@ -47,10 +48,11 @@
  * that contain the upstream.
  */
 struct UpstreamState {
-  std::string address;     ///< "ip:port".
-  int inflight = 0;        ///< Calls of this instance in flight to it.
-  int reported_depth = 0;  ///< Last queue depth it reported; lags.
-  double latency_ms = 0;   ///< Exponential moving average; 0: no sample yet.
+  std::string address;  ///< "ip:port".
+  int inflight = 0;     ///< Calls of this instance in flight to the upstream.
+  /** Last queue depth that the upstream reported; can be outdated. */
+  int reported_depth = 0;
+  double latency_ms = 0;  ///< Exponential moving average; 0: no sample yet.
   Clock::time_point latency_sampled_at;  ///< Last update of latency_ms.
   bool listed_leaving = false;      ///< The instance list marks it as leaving.
   Clock::time_point refused_until;  ///< Leaving until then, after a refusal.
--- a/libs/gateway/src/pipeline_run.cc
+++ b/libs/gateway/src/pipeline_run.cc
@@ -258,9 +258,9 @@
   const bool not_run = CertainlyNotRun(outcome.report.result);
   UpstreamPool& pool = ctx_.pools->PoolFor(req_.settings.business, stage());
   // A call that certainly did not run cost the upstream no work and marks it as
-  // leaving or failing, so retrying elsewhere cannot cause a retry storm. It
-  // does not consume the retry budget; otherwise the routine replacement of an
-  // upstream would exhaust the budget and fail requests.
+  // leaving or failing, so a retry on another upstream cannot cause a retry
+  // storm. It does not consume the retry budget; otherwise the routine
+  // replacement of an upstream would exhaust the budget and fail requests.
   const bool may_retry =
       (stage().idempotent || not_run) && attempt_ < kMaxAttempts &&
       RemainingMs() > req_.settings.min_stage_ms &&
--- a/libs/gateway/src/run_handler.cc
+++ b/libs/gateway/src/run_handler.cc
@@ -39,7 +39,8 @@
   bool run_ended = false;
   QPointer<PipelineRun> runner;  ///< Null before the run starts.
   Claim observed;  ///< Result of the lookup on arrival, if not idempotent.
-  std::optional<Claim> owned;  ///< Set until completed or released.
+  /** Set from acquisition to completion or release. */
+  std::optional<Claim> owned;
 
   const config::ResolvedSettings& settings() const {
     return parsed.run.settings;
--- a/libs/gateway/src/stage_call.cc
+++ b/libs/gateway/src/stage_call.cc
@@ -74,9 +74,9 @@
   sent_at_ = Clock::now();
   start_us_ = utils::NowUnixMicros();
   // Guard: if an upstream closes the connection without answering, Qt resends
-  // the POST on its own, and a notice is printed twice. With a body that cannot
-  // be rewound Qt reports an error instead, and only PipelineRun decides on
-  // retries.
+  // the POST automatically, and a notice is printed twice. With a body that
+  // cannot be rewound Qt reports an error instead, and only PipelineRun decides
+  // on retries.
   auto* device = new http::OneShotBody(body, this);
   reply_ = network.post(RequestHead(spec_, body.size()), device);
   if (spec_.stream) {
--- a/libs/gateway/src/upstream_state.cc
+++ b/libs/gateway/src/upstream_state.cc
@@ -17,12 +17,14 @@
 constexpr milliseconds kFirstEjection{500};
 constexpr milliseconds kMaxEjection{8000};
 /**
- * How long a refusal as leaving is valid without an entry in the instance list.
+ * How long an upstream counts as leaving after it refused a call as leaving,
+ * unless the instance list reports it as live earlier.
  */
 constexpr seconds kRefusalValidity{60};
 /** Weight of a new latency sample in the moving average. */
 constexpr double kSampleWeight = 0.2;
-/** Time constant of the exponential decay of a latency sample. */
+/** Time constant with which the latency average decays while no new sample is
+ * recorded. */
 constexpr duration<double> kLatencyDecayTime{2.0};
 
 void Eject(UpstreamState& upstream, Clock::time_point now) {
@@ -56,8 +58,8 @@
       break;
     case CallResult::kCancelled:
       // A cancelled call took at least this long. Without this sample a slow
-      // upstream whose calls always lose to their hedged calls would appear
-      // fast.
+      // upstream would appear fast if its calls are always cancelled because
+      // the hedged call is answered first.
       if (report.ms > DecayedLatencyMs(upstream, now)) {
         upstream.latency_ms = report.ms;
         upstream.latency_sampled_at = now;
@@ -70,9 +72,10 @@
     case CallResult::kFailed:
     case CallResult::kMisdelivered:
       // Guard: an unreachable upstream fails fast, so it always appears least
-      // loaded and attracts most of the calls; the whole pool then fails far
-      // more than the share of that member. After a few consecutive failures
-      // the upstream is ejected, and later probed with one call at a time.
+      // loaded and receives most of the calls; the pool then fails a far larger
+      // share of its calls than that member's share of the pool. After a few
+      // consecutive failures the upstream is ejected, and later probed with one
+      // call at a time.
       if (++upstream.failures >= kFailuresToEject) Eject(upstream, now);
       break;
   }
--- a/libs/gateway/test/caller_connection_test.cc
+++ b/libs/gateway/test/caller_connection_test.cc
@@ -78,8 +78,8 @@
 
 TEST_CASE("answers on one connection are sent in request order") {
   // Guards against answers in completion order. The caller pipelines a slow and
-  // a fast request; if the fast answer were sent first, the caller would take
-  // it for the answer to the slow request.
+  // a fast request; if the fast answer were sent first, the caller would treat
+  // it as the answer to the slow request.
   EmbeddedStack stack;
   REQUIRE(stack.Start(1));
   QTcpSocket panel;
--- a/libs/gateway/test/drain_step_test.cc
+++ b/libs/gateway/test/drain_step_test.cc
@@ -36,7 +36,7 @@
 }
 
 TEST_CASE("a short drain timeout is split between requests and final answers") {
-  // With a timeout of 600 ms requests get the first half to end by themselves;
+  // With a timeout of 600 ms requests get the first half to complete;
   // a fixed reserve of 500 ms would abort them after 100 ms.
   CHECK(Step(2299, true, false, 600) == DrainStep::kDrainInFlight);
   CHECK(Step(2300, true, false, 600) == DrainStep::kAnswerRemaining);
--- a/libs/membership/include/turmeric/membership/membership.h
+++ b/libs/membership/include/turmeric/membership/membership.h
@@ -92,8 +92,8 @@
   /** A peer with its dissemination state. */
   struct MemberEntry {
     Member member;
-    Clock::time_point since;  ///< When its present state was set.
-    int sends_left = 0;       ///< Messages that are still to carry the update.
+    Clock::time_point since;  ///< Time at which the present state was set.
+    int sends_left = 0;  ///< Number of further messages that carry the update.
   };
   /** A probe of this instance that is not acknowledged yet. */
   struct Probe {
@@ -118,7 +118,9 @@
   void ExpireMembers(Clock::time_point now);
   Datagram Compose(uint8_t kind, uint64_t sequence, Address to,
                    const Member* target, const Member* first_update);
-  /** @return the updates for the next message, `first_update` first. */
+  /** Selects the updates for the next message and decrements their remaining
+   * sends. @param first_update update to place first, or nullptr.
+   * @return the updates. */
   std::vector<Member> TakeUpdates(const Member* first_update);
   std::optional<std::string> NextTarget();
   int Retransmissions() const;
@@ -132,7 +134,8 @@
   std::map<std::string, Member, std::less<>> roster_;        ///< Without self.
   std::vector<std::string> round_;  ///< Targets not probed yet this round.
   std::optional<Probe> probe_;
-  std::map<uint64_t, IndirectProbe> indirect_probes_;  ///< By sequence.
+  /** Keyed by the sequence number of the ping. */
+  std::map<uint64_t, IndirectProbe> indirect_probes_;
   Clock::time_point next_probe_;
   Clock::time_point next_reconnect_;
   uint64_t sequence_ = 0;
--- a/libs/membership/src/details/codec.h
+++ b/libs/membership/src/details/codec.h
@@ -15,9 +15,10 @@
 /** One message between instances. */
 struct Message {
   MessageKind kind = MessageKind::kPing;
-  uint64_t sequence = 0;         ///< Of the probe that the message belongs to.
-  Member from;                   ///< The sender.
-  std::optional<Member> target;  ///< Of a ping request: the member to probe.
+  uint64_t sequence = 0;  ///< Sequence number of the message's probe.
+  Member from;            ///< The sender.
+  /** Member to probe; set only in ping requests. */
+  std::optional<Member> target;
   std::vector<Member> updates;
 };
 
--- a/libs/stages/include/turmeric/stages/piece.h
+++ b/libs/stages/include/turmeric/stages/piece.h
@@ -14,11 +14,12 @@
 struct Piece {
   std::string request_id;
   int stage = 0;
-  int index = 0;    ///< Within the stage, from 0.
+  int index = 0;    ///< Index of the piece in the stage, from 0.
   std::string key;  ///< The request's piece key; set if `inputs` is empty.
-  std::vector<std::string> inputs;  ///< Handles of the results it needs.
-  int64_t result_bytes = 0;         ///< Approximate size of its result.
-  int rank = 0;                     ///< Urgency class; 0 is served first.
+  /** Handles of the results that the piece needs. */
+  std::vector<std::string> inputs;
+  int64_t result_bytes = 0;    ///< Approximate size of the piece's result.
+  int rank = 0;                ///< Urgency class; 0 is served first.
   Clock::time_point due;       ///< End time needed to meet the latency target.
   Clock::time_point deadline;  ///< The result is of no use after this.
   /** Preferred availability zone: running the piece there transfers the fewest
@@ -26,7 +27,7 @@
   std::string zone;
   /** Services of the stages that follow, for which its result must be kept. */
   std::vector<std::string> next_services;
-  std::string fingerprint;  ///< Fingerprint of its request.
+  std::string fingerprint;  ///< Fingerprint of the piece's request.
   /** The piece may have run before; it adds no credit for retries of pieces. */
   bool retried = false;
 };
@@ -35,7 +36,7 @@
 enum class PieceFailure {
   kNone,
   kLate,         ///< Its deadline has passed or cannot be met.
-  kInputLost,    ///< A result that it needs no longer exists.
+  kInputLost,    ///< A result that the piece needs no longer exists.
   kNoMemory,     ///< The upstream has no memory for the result.
   kFailed,       ///< The upstream failed or closed the connection.
   kNoUpstream,   ///< The service has no usable upstream.
--- a/libs/stages/include/turmeric/stages/piece_queue.h
+++ b/libs/stages/include/turmeric/stages/piece_queue.h
@@ -65,7 +65,7 @@
 
 /** Capacity of the next call to a free upstream. */
 struct CallCapacity {
-  int pieces = 1;                   ///< Most pieces in the call.
+  int pieces = 1;                   ///< Maximum number of pieces in the call.
   int64_t result_memory_bytes = 0;  ///< Memory left for results.
   /** Zones in which other upstreams can take a piece. */
   std::span<const std::string> other_zones;
@@ -122,12 +122,12 @@
                                        Clock::time_point now);
   /** Dequeues all pieces. */
   std::vector<QueuedPiece> TakeAll();
-  /** @return pieces waiting. */
+  /** @return the number of waiting pieces. */
   size_t size() const { return waiting_.size(); }
   /**
    * @param urgency a position. @param now current time.
    * @param call_time estimated duration of a call.
-   * @return waiting pieces at or before that position.
+   * @return the number of waiting pieces at or before that position.
    */
   size_t CountBefore(const Urgency& urgency, Clock::time_point now,
                      std::chrono::milliseconds call_time) const;
--- a/libs/stages/include/turmeric/stages/result_memory.h
+++ b/libs/stages/include/turmeric/stages/result_memory.h
@@ -21,7 +21,8 @@
   /** Ends the reservation of a call. @param bytes as reserved. */
   void Unreserve(int64_t bytes) { reserved_ -= bytes; }
   /** Counts a result that was made. @param handle of the result. @param bytes
-   * its size. @param until when the upstream drops it by itself. */
+   * its size. @param until time at which the upstream deletes the result unless
+   * it is released earlier. */
   void Hold(const std::string& handle, int64_t bytes, Clock::time_point until);
   /** Removes a result. @param handle of the result; ignored if unknown. */
   void Release(const std::string& handle) { held_.erase(handle); }
--- a/libs/stages/include/turmeric/stages/shard.h
+++ b/libs/stages/include/turmeric/stages/shard.h
@@ -20,8 +20,8 @@
  */
 struct Shard {
   std::string service;
-  std::string zone;  ///< Of its upstreams; empty: all zones.
-  size_t index = 0;  ///< Among the `count` shards of that zone.
+  std::string zone;  ///< Zone of the shard's upstreams; empty: all zones.
+  size_t index = 0;  ///< Index among the `count` shards of that zone.
   size_t count = 1;
 };
 
--- a/libs/stages/include/turmeric/stages/stage_progress.h
+++ b/libs/stages/include/turmeric/stages/stage_progress.h
@@ -45,8 +45,9 @@
   int pieces(int stage) const { return stages_[stage].pieces; }
   /** @param stage a stage. @return handles of its pieces' inputs, in order. */
   std::vector<std::string> Inputs(int stage) const;
-  /** Records a result; ignored if the piece has one. @param stage a stage.
-   * @param index of the piece. @param result of the piece. */
+  /** Records the result of a piece. A second result of the same piece is
+   * ignored. @param stage a stage. @param index of the piece within the stage.
+   * @param result of the piece. */
   void Complete(int stage, int index, const PieceResult& result);
   /** Records that a call has fetched the inputs of a piece. @param stage of the
    * piece. */
@@ -66,22 +67,28 @@
    *     those of stages whose successors are complete or have fetched them.
    */
   std::vector<ServiceResults> TakeUnneeded();
-  /** @return all results not returned before; each is returned only once. */
+  /** @return the results available so far, except those of stages that an
+   * earlier TakeUnneeded or TakeAll has marked as released. Marks all stages as
+   * released: results recorded later are not returned until Restart. */
   std::vector<ServiceResults> TakeAll();
   /** @param stage a stage. @return length of the longest chain after it. */
   int StagesAfter(int stage) const;
   /** @param stage a stage. @param times estimated durations of stages.
    * @return estimated duration of the longest chain after it. */
   std::chrono::milliseconds TimeAfter(int stage, const StageTimes& times) const;
-  /** @param stage a stage. @return services of the stages that follow it. */
+  /** @param stage a stage. @return services of all stages that use the
+   * results of the stage, directly or through other stages; a service can occur
+   * more than once. */
   std::vector<std::string> ServicesAfter(int stage) const;
   /** @return length of the longest chain of incomplete stages. */
   int StagesLeft() const;
   /** @param stage a stage. @return zone of the stage with the largest results
-   * among its inputs; empty if all of them are too small to matter. */
+   * among the inputs of `stage`; empty if the results of each input stage are
+   * too small to determine a zone. */
   std::string InputsZone(int stage) const;
-  /** @return zone of the stage with the largest results among the request's own
-   * inputs; empty if all of them are too small to matter. */
+  /** @return zone of the stage with the largest results among the stages whose
+   * results no other stage uses; empty if the results of each of these stages
+   * are too small to determine a zone. */
   std::string FinalInputsZone() const;
 
  private:
--- a/libs/stages/src/late_piece_rate.cc
+++ b/libs/stages/src/late_piece_rate.cc
@@ -10,10 +10,12 @@
 namespace {
 
 /** Averaging window of the rate; the rate is used only after late pieces have
- * waited for that long. Three calls of a stage upstream. */
+ * waited for a whole window. The window is the duration of three calls to a
+ * stage upstream. */
 constexpr milliseconds kWindow{1000};
-/** Longest gap between two updates in which late pieces count as waiting
- * throughout; a queue with pieces is checked several times as often. */
+/** Time between two calls of NoteWaiting from which late pieces no longer count
+ * as waiting continuously. A queue that is not empty is checked several times
+ * within this time. */
 constexpr milliseconds kMaxUpdateGap{250};
 /** Time added for a piece that no call is expected to take: later than any
  * deadline. */
--- a/libs/stages/src/piece_queue.cc
+++ b/libs/stages/src/piece_queue.cc
@@ -65,7 +65,7 @@
   bool isolated_ = false;  ///< No other request may be added.
 };
 
-/** @return true if a service that follows the piece has enough backlog. */
+/** @return true if the service of any later stage has enough backlog. */
 bool IsBackedUp(const Piece& piece, const CallCapacity& capacity) {
   return std::ranges::any_of(
       piece.next_services, [&](const std::string& service) {
--- a/libs/stages/src/shard.cc
+++ b/libs/stages/src/shard.cc
@@ -17,11 +17,12 @@
 
 namespace {
 
-/** Number of upstreams up to which a service is one shard: divided by zone, the
- * calls would be filled from queues for one or two upstreams each. */
+/** A service with at most this many upstreams is a single shard. If it were
+ * divided by zone, each queue would fill the calls of only one or two
+ * upstreams. */
 constexpr size_t kMaxUnshardedUpstreams = 8;
-/** Most upstreams of a shard; serving them takes a few per cent of a core of
- * the owner. */
+/** Maximum number of upstreams per shard. Assigning work to that many upstreams
+ * takes a few per cent of one processor core of the shard's owner. */
 constexpr size_t kUpstreamsPerShard = 12;
 /** Engines per cell, within a factor of the square root of two. The owner then
  * places a few hundred requests per second, which takes some per cent of the
@@ -40,9 +41,9 @@
 
 /** Sort key of an upstream among those of its service. */
 struct ShardPosition {
-  uint64_t hash;  ///< Of its id.
+  uint64_t hash;  ///< Hash of the upstream's id.
   std::string_view id;
-  size_t index;  ///< In the list of upstreams.
+  size_t index;  ///< Index in the list of upstreams.
 };
 
 size_t ParseCount(std::string_view text) {
--- a/libs/stages/src/stage_times.cc
+++ b/libs/stages/src/stage_times.cc
@@ -23,7 +23,7 @@
   const auto newest = static_cast<double>(took.count());
   // Guard: with a long estimate, no request can be in time by the plan. If only
   // requests that can be in time counted, the estimate of an overload would
-  // remain for ever, and every later request would be planned as late.
+  // remain permanently, and every later request would be planned as late.
   if (!could_be_in_time && newest > ms) return;
   ms += kSampleWeight * (newest - ms);
 }
--- a/libs/stages/test/piece_queue_test.cc
+++ b/libs/stages/test/piece_queue_test.cc
@@ -169,8 +169,8 @@
 
 }  // namespace
 
-// Guards against harmless requests that share every call with the request that
-// crashes upstreams.
+// Guards against a harmless request that shares every call with a request that
+// crashes upstreams, and is suspected with it each time.
 TEST_CASE("requests of a call whose upstream crashed get separate calls") {
   PieceQueue queue = QueueWithCrashes({{"a", 1}, {"b", 1}});
   PushWork(queue, "a", 500ms);
--- a/libs/stages/test/stage_times_test.cc
+++ b/libs/stages/test/stage_times_test.cc
@@ -49,7 +49,8 @@
   int in_time = 0;
 };
 
-/** Simulates arrivals of `per_s` requests per second for 30 s. */
+/** Simulates the stages of kChain for requests that arrive at random, on
+ * average `per_s` per second for 30 s. */
 class Replay {
  public:
   Replay(double per_s, Estimate estimate, Note note)
--- a/libs/store/include/turmeric/store/kind_replica.h
+++ b/libs/store/include/turmeric/store/kind_replica.h
@@ -30,14 +30,15 @@
   /** Result of Merge. */
   struct MergeResult {
     Outcome outcome = Outcome::kKnown;
-    std::vector<SourceObject> changes;  ///< New changes, for the caller.
+    /** Changes of the batch that were applied. */
+    std::vector<SourceObject> changes;
   };
 
   /**
    * Replaces the state by a full list of the store. A list of a later era may
    * come from a copy of an older state, in which revisions are assigned a
-   * second time: objects whose content differs are changes, all others only
-   * take their position in the new era.
+   * second time: objects whose content differs count as changes; for all other
+   * objects only the position is updated to the new era.
    * @param list all objects of the kind.
    * @return the changes from the previous state to the list; for the first
    *     list, its objects in a batch that follows the list's own revision;
@@ -70,8 +71,8 @@
 
   /** State of one object. */
   struct Entry {
-    Position position = 0;    ///< Of its last change.
-    size_t content_hash = 0;  ///< Of its spec.
+    Position position = 0;    ///< Position of the object's last change.
+    size_t content_hash = 0;  ///< Hash of the object's spec.
   };
 
   std::map<std::string, Entry> entries_;  ///< By object name.
--- a/libs/store/include/turmeric/store/object_source.h
+++ b/libs/store/include/turmeric/store/object_source.h
@@ -19,7 +19,8 @@
   bool deleted = false;  ///< Set only in changes, not in lists.
 };
 
-/** Objects of a kind, and the store's revision at which they were read. */
+/** Answer to a call: the listed or changed objects of one kind, and the store's
+ * revision up to which the answer is complete. */
 struct SourceBatch {
   std::vector<SourceObject> objects;
   int64_t revision = 0;
--- a/libs/store/include/turmeric/store/reflector.h
+++ b/libs/store/include/turmeric/store/reflector.h
@@ -17,7 +17,8 @@
    * the store was unreachable before this answer, else 0. */
   std::function<void(const SourceBatch&, std::chrono::milliseconds outage)>
       on_list;
-  /** Called with the changes of a watch, possibly none. `outage` as above. */
+  /** Called with the changes of a watch, possibly none. `outage` has the same
+   * meaning as for `on_list`. */
   std::function<void(const ChangeBatch&, std::chrono::milliseconds outage)>
       on_changes;
   /** Called with the reason when the store becomes reachable or unreachable. */
@@ -134,8 +135,10 @@
   int64_t peer_change_ = 0;
   bool call_in_flight_ = false;
   bool watch_in_flight_ = false;  ///< The call in flight is a watch.
-  uint64_t watch_sequence_ = 0;  ///< Of the open watch; older ones are ignored.
-  std::chrono::milliseconds requested_wait_{0};  ///< Of the last watch.
+  /** Number of the open watch; answers to earlier watches are ignored. */
+  uint64_t watch_sequence_ = 0;
+  /** Requested wait of the last watch. */
+  std::chrono::milliseconds requested_wait_{0};
   std::chrono::steady_clock::time_point call_started_at_;
   /** When the last call for CatchUp or for a lost watch was made. */
   std::chrono::steady_clock::time_point last_extra_call_at_;
--- a/libs/store/src/details/remote_store_io.cc
+++ b/libs/store/src/details/remote_store_io.cc
@@ -21,12 +21,12 @@
 
 }  // namespace
 
-/** A watch whose stream is open. */
+/** A watch that has been started and has not ended. */
 struct RemoteStoreIo::OpenWatch {
   QNetworkReply* reply = nullptr;
   QTimer idle_timer;
   WatchCallback callback;
-  AnswerHandler handler;  ///< Empty after its only call.
+  AnswerHandler handler;  ///< Called once, then set to empty.
   QByteArray buffer;
 };
 
@@ -45,9 +45,9 @@
   if (call.method != "PUT") {
     return network.sendCustomRequest(request, call.method);
   }
-  // Guard: Qt retries a request by itself if the connection closes before the
-  // answer. A body that cannot be rewound prevents the retry, so that a lost
-  // answer is reported as lost.
+  // Guard: Qt retries a request automatically if the connection closes before
+  // the answer. A body that cannot be rewound prevents the retry, so that a
+  // lost answer is reported as lost.
   request.setHeader(QNetworkRequest::ContentLengthHeader, call.body.size());
   request.setHeader(QNetworkRequest::ContentTypeHeader, "text/plain");
   request.setAttribute(QNetworkRequest::DoNotBufferUploadDataAttribute, true);
--- a/libs/store/src/reflector.cc
+++ b/libs/store/src/reflector.cc
@@ -83,8 +83,9 @@
 void Reflector::SetPassive(bool passive) {
   if (std::exchange(passive_, passive) == passive || !synced_) return;
   if (passive) return;
-  // Failures from before the passive phase do not show the store's present
-  // state. Counted as an outage, they would keep upstreams that have left.
+  // Failed calls from before the passive phase do not show whether the store is
+  // reachable now. If they counted as a current outage, upstreams that have
+  // left would stay in use.
   reachable_ = true;
   failures_ = 0;
   last_contact_at_ = steady_clock::now();
@@ -146,7 +147,7 @@
 void Reflector::Watch() {
   // Guard: a call sent just before an unreachable store recovers may never be
   // answered. With the full wait it would time out seconds after the recovery,
-  // and a configuration accepted meanwhile would come into force too late.
+  // and a configuration accepted in that time would come into force too late.
   const bool probe_only = !reachable_ || passive_;
   requested_wait_ = probe_only ? kProbeWatchWait : NormalWatchWait();
   call_started_at_ = steady_clock::now();
@@ -180,8 +181,8 @@
 
 // Guard: the loss of a long watch is noticed only when the watch should have
 // ended. Long watches are started while peers send messages, because these
-// messages report changes. When the messages stop, a watch that has been open
-// for longer than a watch started now would be is replaced.
+// messages report changes. When the messages stop, a watch is replaced once it
+// has been open kMaxWatchOverrun longer than the wait of a watch started now.
 void Reflector::CheckWatchOverdue() {
   if (!watch_in_flight_ || !reachable_ || passive_) return;
   const auto open_for = std::chrono::duration_cast<milliseconds>(
--- a/libs/store/test/backoff_test.cc
+++ b/libs/store/test/backoff_test.cc
@@ -10,9 +10,10 @@
 
 // Guards against requests to an upstream that has left. An instance is cut off
 // from the store for 12 s, and an upstream is removed just as the cut ends. The
-// call in flight times out after 400 ms; if the next one followed up to 960 ms
-// later, the 2 s for which missing upstreams are kept would be added to that,
-// and requests would still be sent 3 s after the removal.
+// call in flight times out after 400 ms. If the next call started up to 960 ms
+// after the timeout, the instance would receive the removal that late, and
+// would then keep the missing upstream for another 2 s: requests would still be
+// sent to it 3 s after the removal.
 TEST_CASE("a timed-out call is retried soon") {
   constexpr milliseconds kCallTimeout = 400ms;
   for (int failures = 1; failures < 20; ++failures) {
--- a/libs/store/test/kind_replica_test.cc
+++ b/libs/store/test/kind_replica_test.cc
@@ -124,9 +124,9 @@
 }
 
 // Guards against a follower that keeps a deleted upstream. A relay restarts and
-// lists the store; a follower that has an upstream which was deleted meanwhile
-// requests the missed changes. The list does not contain the deletion, so the
-// follower must receive a gap.
+// lists the store, and a follower with an upstream that was deleted before the
+// list requests the missed changes. The list does not contain the deletion, so
+// the follower must receive a gap.
 TEST_CASE("a history does not reach back before the first list") {
   KindReplica relay;
   ChangeHistory history(10);
@@ -257,8 +257,9 @@
   REQUIRE(replica.revision() == MakePosition(2, 20));
 }
 
-// Guards against an upstream that stays in use because it is missing from the
-// state of the relay whose changes lead into the new era.
+// Guards against an upstream that stays in use after a change of era. A relay
+// computes its changes into the new era from its own state. If its state does
+// not contain the upstream, the changes do not contain the deletion.
 TEST_CASE("changes into a later era apply only to the state that they follow") {
   KindReplica replica = ReplicaInEraOne();
   const ChangeBatch from_other{MakePosition(1, 28), MakePosition(2, 20), {}};
