--- a/libs/entry/include/turmeric/entry/instance_info.h
+++ b/libs/entry/include/turmeric/entry/instance_info.h
@@ -9,7 +9,7 @@
 struct InstanceInfo {
   std::string address;   ///< "ip:port" that other instances connect to.
   std::string zone;      ///< Availability zone; empty: not stated.
-  double cpu_share = 0;  ///< As a fraction of a core; 0: not stated.
+  double cpu_share = 0;  ///< CPU cores it may use; 0: not stated.
 
   bool operator==(const InstanceInfo&) const = default;
 };
